--- a/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
+++ b/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
@@ -7,7 +7,7 @@
 import io.hingehoist.command.MemberRefused;
 import io.hingehoist.command.RegisterAgent;
 import io.hingehoist.loop.InboxLoop;
-import io.hingehoist.loop.SleepWatch;
+import io.hingehoist.loop.SleepDetector;
 import io.hingehoist.message.CreditDemand;
 import io.hingehoist.message.CreditReturn;
 import io.hingehoist.message.FenceJob;
@@ -72,7 +72,7 @@
   private boolean registering;
   private boolean hadLease;
   private boolean stopping;
-  private final SleepWatch sleepWatch = SleepWatch.create();
+  private final SleepDetector sleepWatch = SleepDetector.create();
   private long sleeps;
 
   private AgentNode(
@@ -261,11 +261,11 @@
   private void onAnswer(RunKey key, BackendAnswer answer) {
     switch (answer) {
       case BackendAnswer.Ended ended -> {
-        metrics.noteTask(ended.state().name());
+        metrics.countTask(ended.state().name());
         carryOut(ledger.onRunEnded(key, ended.state(), ended.result(), ended.ranMicros()));
       }
       case BackendAnswer.NotReached notReached -> {
-        metrics.noteTask("NOT_REACHED");
+        metrics.countTask("NOT_REACHED");
         carryOut(ledger.onNotRun(key));
       }
     }
@@ -296,7 +296,7 @@
       } else if (greeted && isFromEntry(message)) {
         loop.add(() -> carryOut(ledger.onMessage(connection.id(), message, InboxLoop.nowMs())));
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         connection.close();
       }
     }
--- a/daemon/src/main/java/io/hingehoist/daemon/AdaptedProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AdaptedProcess.java
@@ -10,8 +10,8 @@
 import io.hingehoist.log.DecisionLog;
 import io.hingehoist.metrics.Metrics;
 import io.hingehoist.net.EventLoop;
-import io.hingehoist.net.HttpAnswer;
-import io.hingehoist.net.HttpCall;
+import io.hingehoist.net.HttpExchange;
+import io.hingehoist.net.HttpResponse;
 import io.hingehoist.net.HttpServer;
 import io.hingehoist.owner.OwnerNode;
 import io.hingehoist.quorum.ControlNode;
@@ -157,13 +157,13 @@
     }
   }
 
-  private void answerMetrics(HttpCall call) {
+  private void answerMetrics(HttpExchange call) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     try {
       PrometheusTextFormatWriter.create().write(text, metrics.registry().scrape());
     } catch (IOException e) {
       throw new UncheckedIOException("writing to memory cannot fail", e);
     }
-    call.answer(HttpAnswer.text(200, text.toString(java.nio.charset.StandardCharsets.UTF_8)));
+    call.answer(HttpResponse.text(200, text.toString(java.nio.charset.StandardCharsets.UTF_8)));
   }
 }
--- a/daemon/src/main/java/io/hingehoist/daemon/SettingsWatch.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/SettingsWatch.java
@@ -35,7 +35,7 @@
 
   static void start(Path file, EventLoop loop, DecisionLog log, Consumer<DaemonSettings> changes) {
     SettingsWatch watch = new SettingsWatch(file, loop, log, changes);
-    loop.every(watch::check, PERIOD_MS);
+    loop.scheduleRepeating(watch::check, PERIOD_MS);
     Hangups.handle(watch::onHangup);
   }
 
--- a/daemon/src/main/java/io/hingehoist/entry/AgentLinks.java
+++ b/daemon/src/main/java/io/hingehoist/entry/AgentLinks.java
@@ -139,7 +139,7 @@
       if (isFromAgent(message)) {
         dispatchThread.execute(() -> receive(connection.id(), message));
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         connection.close();
       }
     }
--- a/daemon/src/main/java/io/hingehoist/entry/Answers.java
+++ b/daemon/src/main/java/io/hingehoist/entry/Answers.java
@@ -29,9 +29,9 @@
           }
           double seconds = (System.nanoTime() - startNanos) / 1e9;
           AnswerBody body = toBody(value);
-          metrics.noteAnswer(kind, body.outcome(), seconds);
+          metrics.recordAnswer(kind, body.outcome(), seconds);
           if (value instanceof Answer.Refused refused) {
-            metrics.noteRefusal(refused.cause());
+            metrics.countRefusal(refused.cause());
           }
           response.resume(toResponse(value, body));
         },
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -11,7 +11,7 @@
 import io.hingehoist.dispatch.RequestOutcome;
 import io.hingehoist.dispatch.RequestSpec;
 import io.hingehoist.loop.InboxLoop;
-import io.hingehoist.loop.SleepWatch;
+import io.hingehoist.loop.SleepDetector;
 import io.hingehoist.message.AgentStatus;
 import io.hingehoist.message.Hello;
 import io.hingehoist.message.MembersUpdate;
@@ -63,7 +63,7 @@
   private final InboxLoop<Runnable> loop;
   private long nextRequestId;
   private boolean hadLease;
-  private final SleepWatch sleepWatch = SleepWatch.create();
+  private final SleepDetector sleepWatch = SleepDetector.create();
   private volatile boolean ready;
   private volatile boolean leaving;
   private volatile boolean refusing;
--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -7,7 +7,7 @@
 import io.hingehoist.directory.PeerDirectory;
 import io.hingehoist.log.DecisionLog;
 import io.hingehoist.loop.NodeLoop;
-import io.hingehoist.loop.SleepWatch;
+import io.hingehoist.loop.SleepDetector;
 import io.hingehoist.message.Announce;
 import io.hingehoist.message.DocumentNotice;
 import io.hingehoist.message.EvacuatedZones;
@@ -63,7 +63,7 @@
   private final OwnerLinks owners;
   private final PeerServer peers;
   private final PlannedStop stop;
-  private final SleepWatch sleepWatch = SleepWatch.create();
+  private final SleepDetector sleepWatch = SleepDetector.create();
   private final Set<String> ignoredNoted = new HashSet<>();
 
   private HostNode(
@@ -234,7 +234,7 @@
   @Override
   public void heartbeatIgnored(IgnoredHeartbeat heartbeat) {
     String problem = heartbeat.problem().name();
-    metrics.noteIgnoredHeartbeat(problem);
+    metrics.countIgnoredHeartbeat(problem);
     boolean isNew =
         ignoredNoted.size() < MAX_IGNORED_NOTED
             && ignoredNoted.add(heartbeat.writer() + ' ' + problem);
--- a/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
+++ b/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
@@ -13,7 +13,7 @@
 import io.hingehoist.net.PeerChannel;
 import io.hingehoist.net.PeerHandler;
 import io.hingehoist.net.PeerLink;
-import io.hingehoist.net.SilenceWatch;
+import io.hingehoist.net.SilenceDetector;
 import io.hingehoist.run.SentRows;
 import io.hingehoist.run.SessionSilence;
 import io.hingehoist.run.SessionStream;
@@ -81,7 +81,7 @@
   private final Peer self;
   private final Metrics metrics;
   private final Listener listener;
-  private final SilenceWatch watch = SilenceWatch.create(EventLoop.nowMs());
+  private final SilenceDetector watch = SilenceDetector.create(EventLoop.nowMs());
   private final Map<String, PeerLink> links = new HashMap<>();
   private final Map<String, Session> sessionsByOwner = new HashMap<>();
 
@@ -263,7 +263,7 @@
 
     /** Gives up a connection whose other end speaks of another session than this one. */
     private void refuse(PeerChannel channel) {
-      metrics.noteBadFrame();
+      metrics.countBadFrame();
       channel.close();
     }
 
--- a/daemon/src/main/java/io/hingehoist/journal/Journal.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Journal.java
@@ -144,7 +144,7 @@
     segment.append(block);
     segment.sync();
     segmentBytes += bytes;
-    metrics.noteSync(bytes, (System.nanoTime() - startNanos) / 1e9);
+    metrics.recordSync(bytes, (System.nanoTime() - startNanos) / 1e9);
   }
 
   /** Returns the size of the current segment. */
--- a/daemon/src/main/java/io/hingehoist/loop/NodeLoop.java
+++ b/daemon/src/main/java/io/hingehoist/loop/NodeLoop.java
@@ -45,7 +45,7 @@
   /** Starts to tick, after a first task. */
   public void start(Runnable first) {
     loop.execute(first);
-    loop.every(this::tick, TICK_MS);
+    loop.scheduleRepeating(this::tick, TICK_MS);
   }
 
   private void tick() {
--- a/daemon/src/main/java/io/hingehoist/loop/SleepWatch.java
+++ b/daemon/src/main/java/io/hingehoist/loop/SleepDetector.java
@@ -6,24 +6,24 @@
  * whoever holds a lease asks the other side, which costs one round trip. Owned by the loop of a
  * node.
  */
-public final class SleepWatch {
+public final class SleepDetector {
   /** Far below any lease, and above what clocks of one box drift apart between two looks. */
   private static final long MIN_SLEEP_MS = 100;
 
   private long aheadMs;
 
-  private SleepWatch(long aheadMs) {
+  private SleepDetector(long aheadMs) {
     this.aheadMs = aheadMs;
   }
 
   /** Creates a watch that begins now. */
-  public static SleepWatch create() {
+  public static SleepDetector create() {
     return at(InboxLoop.nowMs(), System.currentTimeMillis());
   }
 
   /** Creates a watch that begins at times of both clocks. */
-  static SleepWatch at(long steadyMs, long timeOfDayMs) {
-    return new SleepWatch(timeOfDayMs - steadyMs);
+  static SleepDetector at(long steadyMs, long timeOfDayMs) {
+    return new SleepDetector(timeOfDayMs - steadyMs);
   }
 
   /** Returns how long this box may have slept since the last call; 0 if it did not. */
--- a/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
+++ b/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
@@ -140,12 +140,12 @@
   }
 
   /** Counts a message that was sent. */
-  public void noteSent(Message message, int bytes) {
+  public void countSent(Message message, int bytes) {
     sent.computeIfAbsent(message.getClass(), type -> count("sent", type)).add(bytes);
   }
 
   /** Counts a message that was received. */
-  public void noteReceived(Message message, int bytes) {
+  public void countReceived(Message message, int bytes) {
     received.computeIfAbsent(message.getClass(), type -> count("received", type)).add(bytes);
   }
 
@@ -156,45 +156,45 @@
   }
 
   /** Counts a frame that was not a message. */
-  public void noteBadFrame() {
+  public void countBadFrame() {
     badFrames.inc();
   }
 
   /** Counts an answer and the time that it took. */
-  public void noteAnswer(String kind, String outcome, double seconds) {
+  public void recordAnswer(String kind, String outcome, double seconds) {
     outcomes.labelValues(kind, outcome).inc();
     answerSeconds.labelValues(kind).observe(seconds);
   }
 
   /** Counts a refusal. */
-  public void noteRefusal(String cause) {
+  public void countRefusal(String cause) {
     refusals.labelValues(cause).inc();
   }
 
   /** Counts a heartbeat that names no worker to use. */
-  public void noteIgnoredHeartbeat(String problem) {
+  public void countIgnoredHeartbeat(String problem) {
     ignoredHeartbeats.labelValues(problem).inc();
   }
 
   /** Counts a synced write. */
-  public void noteSync(int bytes, double seconds) {
+  public void recordSync(int bytes, double seconds) {
     journalBytes.inc(bytes);
     syncSeconds.observe(seconds);
   }
 
   /** Counts a change of role. */
-  public void noteRole(String role, long newTerm) {
+  public void recordRoleChange(String role, long newTerm) {
     elections.labelValues(role).inc();
     term.set(newTerm);
   }
 
   /** Counts a task that ended. */
-  public void noteTask(String state) {
+  public void countTask(String state) {
     tasks.labelValues(state).inc();
   }
 
   /** Counts a change of settings. */
-  public void noteSettingsChange(String result) {
+  public void countSettingsChange(String result) {
     audits.labelValues(result).inc();
   }
 
--- a/daemon/src/main/java/io/hingehoist/net/EventLoop.java
+++ b/daemon/src/main/java/io/hingehoist/net/EventLoop.java
@@ -49,7 +49,7 @@
   }
 
   /** Runs a task on the loop again and again. */
-  public void every(Runnable task, long periodMs) {
+  public void scheduleRepeating(Runnable task, long periodMs) {
     loop.scheduleWithFixedDelay(guarded(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
   }
 
--- a/daemon/src/main/java/io/hingehoist/net/HttpConnection.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpConnection.java
@@ -35,7 +35,7 @@
   private final HttpServer server;
   private final EventLoop loop;
   private final Deque<Waiting> waiting = new ArrayDeque<>();
-  private Optional<HttpCall> open = Optional.empty();
+  private Optional<HttpExchange> open = Optional.empty();
   private io.netty.handler.codec.http.HttpRequest head;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private long bodyBytes;
@@ -75,7 +75,7 @@
 
   private void refuseGarbage(ChannelHandlerContext context) {
     bad = true;
-    write(context, HttpAnswer.text(400, "not an HTTP request"), false);
+    write(context, HttpResponse.text(400, "not an HTTP request"), false);
   }
 
   private void begin(
@@ -115,7 +115,7 @@
     if (bodyBytes > server.maxBodyBytes()) {
       write(
           context,
-          HttpAnswer.text(
+          HttpResponse.text(
               413,
               "body: value of %d bytes is too large; allowed: at most %d"
                   .formatted(bodyBytes, server.maxBodyBytes())),
@@ -139,8 +139,8 @@
       return;
     }
     Waiting first = waiting.remove();
-    HttpCall call =
-        new HttpCall(
+    HttpExchange call =
+        new HttpExchange(
             first.request(),
             answer -> answered(context, answer, first.keepAlive()),
             () -> brokenOff(context));
@@ -148,7 +148,7 @@
     server.handle(call);
   }
 
-  private void answered(ChannelHandlerContext context, HttpAnswer answer, boolean keepAlive) {
+  private void answered(ChannelHandlerContext context, HttpResponse answer, boolean keepAlive) {
     open = Optional.empty();
     server.callOver();
     write(context, answer, keepAlive);
@@ -161,7 +161,7 @@
     Resets.reset(context.channel());
   }
 
-  private void write(ChannelHandlerContext context, HttpAnswer answer, boolean keepAlive) {
+  private void write(ChannelHandlerContext context, HttpResponse answer, boolean keepAlive) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -189,7 +189,7 @@
     body = Unpooled.EMPTY_BUFFER;
     waiting.clear();
     if (open.isPresent()) {
-      HttpCall call = open.get();
+      HttpExchange call = open.get();
       open = Optional.empty();
       server.callOver();
       try {
--- a/daemon/src/main/java/io/hingehoist/net/HttpCall.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpExchange.java
@@ -3,14 +3,14 @@
 import java.util.function.Consumer;
 
 /** One HTTP request that waits for its answer. Owned by the event loop. */
-public final class HttpCall {
+public final class HttpExchange {
   private final HttpRequest request;
-  private final Consumer<HttpAnswer> answers;
+  private final Consumer<HttpResponse> answers;
   private final Runnable breaker;
-  private Runnable onAbandoned = () -> {};
+  private Runnable onDisconnect = () -> {};
   private boolean over;
 
-  HttpCall(HttpRequest request, Consumer<HttpAnswer> answers, Runnable breaker) {
+  HttpExchange(HttpRequest request, Consumer<HttpResponse> answers, Runnable breaker) {
     this.request = request;
     this.answers = answers;
     this.breaker = breaker;
@@ -22,7 +22,7 @@
   }
 
   /** Answers the request, unless it was answered or its caller is gone. */
-  public void answer(HttpAnswer answer) {
+  public void answer(HttpResponse answer) {
     if (!over) {
       over = true;
       answers.accept(answer);
@@ -30,7 +30,7 @@
   }
 
   /** Closes the connection without an answer: nothing can be said of the request. */
-  public void breakOff() {
+  public void abort() {
     if (!over) {
       over = true;
       breaker.run();
@@ -38,14 +38,14 @@
   }
 
   /** Says what to do when the caller leaves before its answer. */
-  public void onAbandoned(Runnable action) {
-    onAbandoned = action;
+  public void onDisconnect(Runnable action) {
+    onDisconnect = action;
   }
 
   void abandon() {
     if (!over) {
       over = true;
-      onAbandoned.run();
+      onDisconnect.run();
     }
   }
 }
--- a/daemon/src/main/java/io/hingehoist/net/HttpHandler.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpHandler.java
@@ -5,5 +5,5 @@
 public interface HttpHandler {
 
   /** Takes a request, and answers it now or later. */
-  void handle(HttpCall call);
+  void handle(HttpExchange call);
 }
--- a/daemon/src/main/java/io/hingehoist/net/HttpAnswer.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpResponse.java
@@ -13,7 +13,7 @@
  * @param retryAfterMs when to come back; empty for no word on it
  * @param location where to ask instead; empty for nowhere else
  */
-public record HttpAnswer(
+public record HttpResponse(
     int status,
     String contentType,
     byte[] body,
@@ -22,18 +22,18 @@
   private static final String JSON = "application/json";
 
   /** Returns an answer with a JSON body. */
-  public static HttpAnswer json(int status, String body) {
+  public static HttpResponse json(int status, String body) {
     return json(status, body.getBytes(StandardCharsets.UTF_8));
   }
 
   /** Returns an answer with a JSON body. */
-  public static HttpAnswer json(int status, byte[] body) {
-    return new HttpAnswer(status, JSON, body, OptionalLong.empty(), Optional.empty());
+  public static HttpResponse json(int status, byte[] body) {
+    return new HttpResponse(status, JSON, body, OptionalLong.empty(), Optional.empty());
   }
 
   /** Returns an answer with a text body. */
-  public static HttpAnswer text(int status, String body) {
-    return new HttpAnswer(
+  public static HttpResponse text(int status, String body) {
+    return new HttpResponse(
         status,
         "text/plain; charset=utf-8",
         body.getBytes(StandardCharsets.UTF_8),
@@ -42,13 +42,13 @@
   }
 
   /** Returns an answer that sends the caller to another place. */
-  public static HttpAnswer redirect(String url) {
-    return new HttpAnswer(
+  public static HttpResponse redirect(String url) {
+    return new HttpResponse(
         307, JSON, "{}".getBytes(StandardCharsets.UTF_8), OptionalLong.empty(), Optional.of(url));
   }
 
   /** Returns this answer with word on when to come back. */
-  public HttpAnswer retryAfter(long ms) {
-    return new HttpAnswer(status, contentType, body, OptionalLong.of(ms), location);
+  public HttpResponse retryAfter(long ms) {
+    return new HttpResponse(status, contentType, body, OptionalLong.of(ms), location);
   }
 }
--- a/daemon/src/main/java/io/hingehoist/net/HttpReply.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpResult.java
@@ -1,14 +1,14 @@
 package io.hingehoist.net;
 
 /** What became of an HTTP call that this process made. */
-public sealed interface HttpReply {
+public sealed interface HttpResult {
 
   /** A whole answer came. */
-  record Answered(int status, byte[] body) implements HttpReply {}
+  record Answered(int status, byte[] body) implements HttpResult {}
 
   /** Nobody listens at the address; nothing was done. */
-  record NobodyThere() implements HttpReply {}
+  record ConnectionRefused() implements HttpResult {}
 
   /** No answer came in time, or the connection broke: the call may have been carried out. */
-  record Unanswered() implements HttpReply {}
+  record Unanswered() implements HttpResult {}
 }
--- a/daemon/src/main/java/io/hingehoist/net/HttpServer.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpServer.java
@@ -62,7 +62,7 @@
     return maxBodyBytes;
   }
 
-  void handle(HttpCall call) {
+  void handle(HttpExchange call) {
     openCalls++;
     handler.handle(call);
   }
--- a/daemon/src/main/java/io/hingehoist/net/PeerChannel.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerChannel.java
@@ -97,7 +97,7 @@
     ByteBuf frame = channel.alloc().buffer(LENGTH_BYTES + body.size());
     frame.writeInt(body.size());
     frame.writeBytes(body.asByteBuffer());
-    metrics.noteSent(message, body.size());
+    metrics.countSent(message, body.size());
     channel.writeAndFlush(frame, channel.voidPromise());
     return true;
   }
@@ -136,10 +136,10 @@
       heard = true;
       try {
         Message message = Message.fromBytes(Bytes.copyOf(body));
-        metrics.noteReceived(message, body.length);
+        metrics.countReceived(message, body.length);
         guarded(() -> take(message));
       } catch (IOException e) {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         close();
       }
     }
--- a/daemon/src/main/java/io/hingehoist/net/PeerLink.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerLink.java
@@ -38,7 +38,7 @@
   private final Supplier<Hello> hello;
   private final PeerHandler handler;
   private final Metrics metrics;
-  private final SilenceWatch watch = SilenceWatch.create(EventLoop.nowMs());
+  private final SilenceDetector watch = SilenceDetector.create(EventLoop.nowMs());
   private long silentAfterMs;
   private int patience = 1;
   private long replacedHeardAtMs;
--- a/daemon/src/main/java/io/hingehoist/net/HttpCaller.java
+++ b/daemon/src/main/java/io/hingehoist/net/PooledHttpClient.java
@@ -28,7 +28,7 @@
  * Calls one address by HTTP/1.1 on kept connections, one call at a time on each. Owned by the event
  * loop.
  */
-public final class HttpCaller implements AutoCloseable {
+public final class PooledHttpClient implements AutoCloseable {
   private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
   /**
@@ -41,7 +41,7 @@
   public record Call(
       String method, String path, String instance, byte[] body, long timeoutMs, boolean fresh) {}
 
-  private record Waiting(Call call, Consumer<HttpReply> replies) {}
+  private record Waiting(Call call, Consumer<HttpResult> replies) {}
 
   private final EventLoop loop;
   private final String address;
@@ -53,7 +53,7 @@
   private int connections;
   private boolean closed;
 
-  private HttpCaller(
+  private PooledHttpClient(
       EventLoop loop,
       String address,
       String ownAddress,
@@ -72,17 +72,17 @@
    * @param ownAddress the address whose IP number the connections come from
    * @param instanceHeader the header that names the life that a call is meant for
    */
-  public static HttpCaller create(
+  public static PooledHttpClient create(
       EventLoop loop,
       String address,
       String ownAddress,
       String instanceHeader,
       int maxConnections) {
-    return new HttpCaller(loop, address, ownAddress, instanceHeader, maxConnections);
+    return new PooledHttpClient(loop, address, ownAddress, instanceHeader, maxConnections);
   }
 
   /** Makes a call; the reply comes once, on the event loop. */
-  public void call(Call call, Consumer<HttpReply> replies) {
+  public void call(Call call, Consumer<HttpResult> replies) {
     waiting.add(new Waiting(call, replies));
     serveWaiting();
   }
@@ -138,7 +138,8 @@
                     done.cause() instanceof ConnectException && !isTimeout(done.cause());
                 first
                     .replies()
-                    .accept(refused ? new HttpReply.NobodyThere() : new HttpReply.Unanswered());
+                    .accept(
+                        refused ? new HttpResult.ConnectionRefused() : new HttpResult.Unanswered());
                 serveWaiting();
               }
             });
@@ -201,14 +202,14 @@
       if (kept) {
         idle.push(this);
       }
-      reply(answered.get(), new HttpReply.Answered(response.status().code(), body));
+      reply(answered.get(), new HttpResult.Answered(response.status().code(), body));
       if (!kept) {
         context.close();
       }
       serveWaiting();
     }
 
-    private void reply(Waiting answered, HttpReply reply) {
+    private void reply(Waiting answered, HttpResult reply) {
       try {
         answered.replies().accept(reply);
       } catch (RuntimeException | Error e) {
@@ -220,7 +221,7 @@
     public void channelInactive(ChannelHandlerContext context) {
       connections--;
       idle.remove(this);
-      takeOpen().ifPresent(lost -> reply(lost, new HttpReply.Unanswered()));
+      takeOpen().ifPresent(lost -> reply(lost, new HttpResult.Unanswered()));
       serveWaiting();
     }
 
--- a/daemon/src/main/java/io/hingehoist/net/SilenceWatch.java
+++ b/daemon/src/main/java/io/hingehoist/net/SilenceDetector.java
@@ -5,20 +5,20 @@
  * the meantime is read only after the tick that comes late, so that nothing is concluded from it.
  * Owned by the event loop.
  */
-public final class SilenceWatch {
+public final class SilenceDetector {
   /** Ticks come every 50 ms; one that is so late says that this process did not run. */
   private static final long LATE_TICK_MS = 150;
 
   private long tickedAtMs;
   private boolean late;
 
-  private SilenceWatch(long nowMs) {
+  private SilenceDetector(long nowMs) {
     this.tickedAtMs = nowMs;
   }
 
   /** Creates a watch that begins now. */
-  public static SilenceWatch create(long nowMs) {
-    return new SilenceWatch(nowMs);
+  public static SilenceDetector create(long nowMs) {
+    return new SilenceDetector(nowMs);
   }
 
   /** Notes the time. Called at short intervals. */
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -20,7 +20,7 @@
 import io.hingehoist.net.PeerHandler;
 import io.hingehoist.net.PeerLink;
 import io.hingehoist.net.PeerServer;
-import io.hingehoist.net.SilenceWatch;
+import io.hingehoist.net.SilenceDetector;
 import io.hingehoist.run.OpenRuns;
 import io.hingehoist.run.ReceivedRows;
 import io.hingehoist.run.RunTiming;
@@ -133,7 +133,7 @@
   private final PeerServer server;
   private final Map<String, Session> sessions = new HashMap<>();
   private final Map<String, Long> knockedAtMs = new HashMap<>();
-  private final SilenceWatch watch = SilenceWatch.create(EventLoop.nowMs());
+  private final SilenceDetector watch = SilenceDetector.create(EventLoop.nowMs());
 
   HostSessions(
       EventLoop loop,
@@ -301,7 +301,7 @@
       } else if (message instanceof Hello hello && hello.role() == Role.AGENT) {
         host = Optional.of(hello);
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         channel.close();
       }
     }
@@ -396,7 +396,7 @@
 
     private void take(Session session, SessionAck ack) {
       if (!session.stream.acknowledged(ack.receivedCount())) {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         session.channel.ifPresent(PeerChannel::close);
       }
     }
@@ -406,7 +406,7 @@
       if (rows.isPresent()) {
         listener.onMessage(host, rows.get());
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         session.channel.ifPresent(PeerChannel::close);
       }
     }
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -5,7 +5,7 @@
 import io.hingehoist.directory.PeerDirectory;
 import io.hingehoist.log.DecisionLog;
 import io.hingehoist.loop.NodeLoop;
-import io.hingehoist.loop.SleepWatch;
+import io.hingehoist.loop.SleepDetector;
 import io.hingehoist.message.DocumentNotice;
 import io.hingehoist.message.EvacuatedZones;
 import io.hingehoist.message.HostRows;
@@ -22,8 +22,8 @@
 import io.hingehoist.metrics.Metrics;
 import io.hingehoist.net.ControlLinks;
 import io.hingehoist.net.EventLoop;
-import io.hingehoist.net.HttpAnswer;
-import io.hingehoist.net.HttpCall;
+import io.hingehoist.net.HttpExchange;
+import io.hingehoist.net.HttpResponse;
 import io.hingehoist.net.HttpServer;
 import io.hingehoist.net.PlannedStop;
 import io.hingehoist.net.ZoneGauges;
@@ -81,7 +81,7 @@
   private final HttpServer front;
   private final ZoneKnowledge zones = ZoneKnowledge.create();
   private final RouteFollower routes;
-  private final SleepWatch sleepWatch = SleepWatch.create();
+  private final SleepDetector sleepWatch = SleepDetector.create();
   private final SleepDoubt doubt = SleepDoubt.create();
   private long doubtedSleepMs;
   private long tickedAtMs;
@@ -165,10 +165,10 @@
     loop.execute(() -> controls.open(ControlAddresses.of(newNode)));
   }
 
-  private void answerReady(HttpCall call) {
+  private void answerReady(HttpExchange call) {
     boolean ready =
         !stop.hasBegun() && routes.table().version() > 0 && jobs.hasReadyWorker(EventLoop.nowMs());
-    call.answer(HttpAnswer.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
+    call.answer(HttpResponse.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
   }
 
   // Time.
@@ -257,7 +257,7 @@
   private void answer(String jobId, JobEnd end) {
     long ms = EventLoop.nowMs() - takenAtMs.remove(jobId);
     String kind = end.getClass().getSimpleName();
-    metrics.noteAnswer("job", kind, ms / 1_000.0);
+    metrics.recordAnswer("job", kind, ms / 1_000.0);
     log.write(
         new io.hingehoist.run.Decision("jobAnswered", jobId, "", "", "ms=" + ms + " end=" + end));
     waiters.end(jobId, end);
@@ -376,14 +376,14 @@
       switch (message) {
         case HostRows rows -> jobs.hostRows(hostId, rows, now);
         case RunEnded ended -> {
-          metrics.noteTask(ended.end().name());
+          metrics.countTask(ended.end().name());
           jobs.runEnded(hostId, ended, now);
         }
         case WorkerCrashed news -> jobs.workerCrashed(news, now);
         case SessionProof proof -> doubt.proven(proof.number());
         case RunNotStarted report -> jobs.runNotStarted(hostId, report, now);
         case EvacuatedZones heard -> learnZones(heard, hostId);
-        default -> metrics.noteBadFrame();
+        default -> metrics.countBadFrame();
       }
       loop.settleLater();
     }
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
@@ -470,7 +470,7 @@
   private void apply(LogEntry entry) {
     CommandResult result = state.apply(entry);
     appliedIndex = entry.index();
-    noteSettingsChange(result);
+    countSettingsChange(result);
     noteDocument(entry, result);
     noteZones(entry, result);
     if (entry.kind() == EntryKind.COMMAND) {
@@ -501,13 +501,13 @@
     }
   }
 
-  private void noteSettingsChange(CommandResult result) {
+  private void countSettingsChange(CommandResult result) {
     switch (result) {
       case SettingsAccepted accepted -> {
-        metrics.noteSettingsChange("accepted");
+        metrics.countSettingsChange("accepted");
         LOG.infof("event=settingsAccepted revision=%d", accepted.revision());
       }
-      case SettingsRefused refused -> metrics.noteSettingsChange("refused");
+      case SettingsRefused refused -> metrics.countSettingsChange("refused");
       default -> {}
     }
   }
@@ -526,7 +526,7 @@
     LOG.infof(
         "event=roleChanged role=%s term=%d leader=%s",
         changed.role(), changed.term(), changed.leaderAddress());
-    metrics.noteRole(changed.role().name(), changed.term());
+    metrics.recordRoleChange(changed.role().name(), changed.term());
     leading = changed.role() == ReplicaRole.LEADER;
     if (leading) {
       liveness.reset(nowMs());
@@ -621,7 +621,7 @@
       } else if (hello.role() != Role.CONTROL && isFromClient(message)) {
         loop.add(new ControlEvent.FromClient(connection, message));
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         connection.close();
       }
     }
@@ -631,7 +631,7 @@
           && greeting.protocolVersion() == FrameConnection.PROTOCOL_VERSION) {
         hello = greeting;
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         connection.close();
       }
     }
--- a/daemon/src/main/java/io/hingehoist/wire/FrameConnection.java
+++ b/daemon/src/main/java/io/hingehoist/wire/FrameConnection.java
@@ -122,12 +122,12 @@
   private void readFrame(DataInputStream in) throws IOException {
     int length = in.readInt();
     if (length <= 0 || length > MAX_FRAME_BYTES) {
-      metrics.noteBadFrame();
+      metrics.countBadFrame();
       throw new IOException("frame of " + length + " bytes, allowed 1 to " + MAX_FRAME_BYTES);
     }
     Message message = decode(readBody(in, length));
     heardAtMs = nowMs();
-    metrics.noteReceived(message, length);
+    metrics.countReceived(message, length);
     if (message instanceof KeepAlive keepAlive) {
       answer(keepAlive);
     } else {
@@ -154,7 +154,7 @@
     try {
       return Message.fromBytes(body);
     } catch (IOException e) {
-      metrics.noteBadFrame();
+      metrics.countBadFrame();
       throw e;
     }
   }
@@ -181,7 +181,7 @@
     Bytes body = message.toBytes();
     out.writeInt(body.size());
     body.writeTo(out);
-    metrics.noteSent(message, body.size());
+    metrics.countSent(message, body.size());
   }
 
   /** Closes the connection; what is queued is dropped. */
--- a/daemon/src/test/java/io/hingehoist/net/PeerLinkTest.java
+++ b/daemon/src/test/java/io/hingehoist/net/PeerLinkTest.java
@@ -167,7 +167,7 @@
     assertEquals(received.poll(10, TimeUnit.SECONDS), new OwnerBeat(7, true));
     assertEquals(received.poll(10, TimeUnit.SECONDS), HELLO);
     assertEquals(onLoop(link::silentAfterMs), Long.valueOf(2 * SILENT_AFTER_MS));
-    loop.every(() -> second.send(new OwnerBeat(8, true)), TICK_MS);
+    loop.scheduleRepeating(() -> second.send(new OwnerBeat(8, true)), TICK_MS);
     long giveUpAtMs = EventLoop.nowMs() + TimeUnit.SECONDS.toMillis(20);
     while (onLoop(link::silentAfterMs) != SILENT_AFTER_MS) {
       assertTrue(EventLoop.nowMs() < giveUpAtMs, "the time is still longer");
