--- a/core/src/main/java/io/hingehoist/run/ZoneKnowledge.java
+++ b/core/src/main/java/io/hingehoist/run/EvacuatedZonesView.java
@@ -8,15 +8,15 @@
  * It is told by control replicas, and by other processes that learned of a change, so that a box
  * which reaches none of the replicas hears of it all the same. Not thread-safe.
  */
-public final class ZoneKnowledge {
+public final class EvacuatedZonesView {
   private Optional<EvacuatedZones> known = Optional.empty();
   private long learnedAtMs;
 
-  private ZoneKnowledge() {}
+  private EvacuatedZonesView() {}
 
   /** Creates the knowledge of a process that has just started. */
-  public static ZoneKnowledge create() {
-    return new ZoneKnowledge();
+  public static EvacuatedZonesView create() {
+    return new EvacuatedZonesView();
   }
 
   /**
@@ -24,7 +24,7 @@
    *
    * @param nowMs a time of the same clock as those of {@link #ageMs}
    */
-  public boolean learn(EvacuatedZones heard, long nowMs) {
+  public boolean update(EvacuatedZones heard, long nowMs) {
     boolean news = known.isEmpty() || heard.version() > known.get().version();
     if (news) {
       known = Optional.of(heard);
--- a/core/src/main/java/io/hingehoist/run/ReceivedRows.java
+++ b/core/src/main/java/io/hingehoist/run/HostRowsDecoder.java
@@ -10,25 +10,25 @@
 
 /**
  * What an owner was told of a host's workers on one connection, so that it can read the short form
- * that {@link SentRows} sends. Not thread-safe.
+ * that {@link HostRowsEncoder} sends. Not thread-safe.
  */
-public final class ReceivedRows {
+public final class HostRowsDecoder {
   private List<WorkerRow> told = List.of();
 
-  private ReceivedRows() {}
+  private HostRowsDecoder() {}
 
   /** Creates the state of a new connection. */
-  public static ReceivedRows create() {
-    return new ReceivedRows();
+  public static HostRowsDecoder create() {
+    return new HostRowsDecoder();
   }
 
   /** Takes rows that say who the workers are. */
-  public void take(HostRows rows) {
+  public void recordFull(HostRows rows) {
     told = rows.workers();
   }
 
   /** Returns the rows that a short form stands for; empty if it isn't of the workers told last. */
-  public Optional<HostRows> expand(HostRooms rooms) {
+  public Optional<HostRows> decode(HostRooms rooms) {
     if (rooms.workers().size() != told.size()) {
       return Optional.empty();
     }
--- a/core/src/main/java/io/hingehoist/run/SentRows.java
+++ b/core/src/main/java/io/hingehoist/run/HostRowsEncoder.java
@@ -11,20 +11,20 @@
 /**
  * What a host has sent of its workers on one connection: who they are is said once, then only what
  * changes as they run. Of the messages that an owner gets most are such rows, and most of a row is
- * names: 30 bytes in place of 130. The other end is {@link ReceivedRows}. Not thread-safe.
+ * names: 30 bytes in place of 130. The other end is {@link HostRowsDecoder}. Not thread-safe.
  */
-public final class SentRows {
+public final class HostRowsEncoder {
   private List<WorkerRow> said = List.of();
 
-  private SentRows() {}
+  private HostRowsEncoder() {}
 
   /** Creates the state of a new connection. */
-  public static SentRows create() {
-    return new SentRows();
+  public static HostRowsEncoder create() {
+    return new HostRowsEncoder();
   }
 
   /** Returns the shortest message that shows some rows to the other end. */
-  public Message toSend(HostRows rows) {
+  public Message encode(HostRows rows) {
     if (!areSaid(rows.workers())) {
       said = rows.workers();
       return rows;
--- a/core/src/main/java/io/hingehoist/run/JobPlan.java
+++ b/core/src/main/java/io/hingehoist/run/JobPlan.java
@@ -12,7 +12,7 @@
  * @param priority 0 goes first
  * @param attempts the failed runs of one task after which the job fails
  * @param objectiveMs the time in which the caller hopes for the answer
- * @param worthlessAfterMs the time after which the answer is worth nothing
+ * @param expiresAfterMs the time after which the answer is worth nothing
  * @param steps the steps, each after those that it names
  */
 public record JobPlan(
@@ -23,7 +23,7 @@
     int priority,
     int attempts,
     long objectiveMs,
-    long worthlessAfterMs,
+    long expiresAfterMs,
     List<StepPlan> steps) {
 
   /** Copies the list. */
--- a/core/src/main/java/io/hingehoist/run/OpenRuns.java
+++ b/core/src/main/java/io/hingehoist/run/OpenRuns.java
@@ -27,7 +27,7 @@
   }
 
   /** Takes note of a message of the session, sent or received, once. */
-  public void note(Message message) {
+  public void record(Message message) {
     switch (message) {
       case StartRuns order -> runs.addAll(order.runs());
       case RunEnded report -> runs.remove(report.run());
--- a/core/src/main/java/io/hingehoist/run/Rooms.java
+++ b/core/src/main/java/io/hingehoist/run/Rooms.java
@@ -31,7 +31,7 @@
   }
 
   /** Returns an amount without the parts that are below zero. */
-  public static Room atLeastNone(Room room) {
+  public static Room clampToZero(Room room) {
     return new Room(
         Math.max(0, room.cpuMilli()),
         Math.max(0, room.memoryMb()),
@@ -39,7 +39,7 @@
   }
 
   /** Returns whether less than a quarter of a capacity is free. */
-  public static boolean isTight(Room free, Room capacity) {
+  public static boolean isNearlyFull(Room free, Room capacity) {
     return free.cpuMilli() < capacity.cpuMilli() / TIGHT_DIVISOR;
   }
 
--- a/core/src/main/java/io/hingehoist/run/RunTiming.java
+++ b/core/src/main/java/io/hingehoist/run/RunTiming.java
@@ -24,16 +24,16 @@
    * The period of an owner's heartbeats to a host where runs of it may be going on. A lease of 650
    * ms is left with 450 for a silent connection to be noticed (300) and replaced.
    */
-  public static final long BEAT_MS = 200;
+  public static final long HEARTBEAT_PERIOD_MS = 200;
 
   /**
    * The same where nothing of the owner runs, so that no lease needs to be renewed: most pairs of a
    * large fleet share no run, and their heartbeats would grow with the product of both.
    */
-  public static final long IDLE_BEAT_MS = 1_000;
+  public static final long IDLE_HEARTBEAT_PERIOD_MS = 1_000;
 
   /** A session without runs is over after two lost heartbeats and 500 ms for what holds one up. */
-  public static final long IDLE_SESSION_MS = 2 * IDLE_BEAT_MS + 500;
+  public static final long IDLE_SESSION_TIMEOUT_MS = 2 * IDLE_HEARTBEAT_PERIOD_MS + 500;
 
   /**
    * Returns the times that follow from those of a platform.
@@ -50,7 +50,7 @@
   }
 
   /** Returns the time after a host's last call at which everything on its worker is over. */
-  public long workerOverAfterMs() {
+  public long workerRunsOverAfterMs() {
     return (long) Math.ceil(workerLeaseMs * SLOWEST_CLOCK) + killGraceMs;
   }
 
@@ -58,8 +58,8 @@
    * Returns the lease, by a worker's clock, after which everything there is over within a time;
    * never longer than the usual one.
    */
-  public long workerLeaseOverAfterMs(long overAfterMs) {
-    return overAfterMs >= workerOverAfterMs()
+  public long workerLeaseEndingWithinMs(long overAfterMs) {
+    return overAfterMs >= workerRunsOverAfterMs()
         ? workerLeaseMs
         : (long) Math.floor((overAfterMs - killGraceMs) / SLOWEST_CLOCK);
   }
@@ -67,12 +67,12 @@
   /**
    * Returns the time after a broken session at which its runs are over: the host is well or dead.
    */
-  public long overAfterBreakMs() {
-    return workerOverAfterMs() + STOP_MARGIN_MS;
+  public long runsOverAfterDisconnectMs() {
+    return workerRunsOverAfterMs() + STOP_MARGIN_MS;
   }
 
   /** Returns the time after an owner gave up a silent host at which its runs there are over. */
-  public long overAfterSilenceMs() {
-    return ownerLeaseMs + overAfterBreakMs();
+  public long runsOverAfterSilenceMs() {
+    return ownerLeaseMs + runsOverAfterDisconnectMs();
   }
 }
--- a/core/src/main/java/io/hingehoist/run/SessionStream.java
+++ b/core/src/main/java/io/hingehoist/run/SessionStream.java
@@ -39,7 +39,7 @@
   }
 
   /** Notes a message that is sent, on a connection or on the next one. */
-  public void noteSent(Message message) {
+  public void recordSent(Message message) {
     if (counts(message)) {
       unacknowledged.add(message);
       sentCount++;
@@ -47,7 +47,7 @@
   }
 
   /** Notes a message that came; returns an acknowledgement where one is due. */
-  public Optional<SessionAck> noteReceived(Message message) {
+  public Optional<SessionAck> recordReceived(Message message) {
     if (!counts(message)) {
       return Optional.empty();
     }
@@ -65,7 +65,7 @@
   }
 
   /** Returns how many messages are kept for another connection. */
-  public int keptCount() {
+  public int unacknowledgedCount() {
     return unacknowledged.size();
   }
 
@@ -75,7 +75,7 @@
    * @param receivedByOther how many counted messages of this end have come there
    * @return false if that is more than were sent, so that it is not of this session
    */
-  public boolean acknowledged(long receivedByOther) {
+  public boolean recordAcknowledged(long receivedByOther) {
     if (receivedByOther > sentCount) {
       return false;
     }
@@ -86,7 +86,7 @@
   }
 
   /** Returns, in order, the messages that the other end has not acknowledged. */
-  public List<Message> kept() {
+  public List<Message> unacknowledged() {
     return List.copyOf(unacknowledged);
   }
 
--- a/core/src/main/java/io/hingehoist/run/StepPlan.java
+++ b/core/src/main/java/io/hingehoist/run/StepPlan.java
@@ -12,20 +12,20 @@
  * @param after the steps, counted from 0, that must be done before
  * @param requires a label that the worker must have; empty for none
  * @param near a label of the workers that hold the data; empty for none
- * @param mostPerWorker the most tasks of the step on one worker; 0 for no limit
+ * @param maxTasksPerWorker the most tasks of the step on one worker; 0 for no limit
  */
 public record StepPlan(
     int count,
     Room need,
     long estimateMs,
-    List<Integer> after,
+    List<Integer> dependsOn,
     String requires,
     String near,
-    int mostPerWorker) {
+    int maxTasksPerWorker) {
 
   /** Copies the list and checks the count. */
   public StepPlan {
-    after = List.copyOf(after);
+    dependsOn = List.copyOf(dependsOn);
     if (count < 1) {
       throw new IllegalArgumentException("count " + count + " must be at least 1");
     }
--- a/core/src/main/java/io/hingehoist/run/TaskNames.java
+++ b/core/src/main/java/io/hingehoist/run/TaskNames.java
@@ -10,7 +10,7 @@
   }
 
   /** Returns the job that a task belongs to. */
-  public static String jobOf(String task) {
+  public static String jobIdOf(String task) {
     int dot = task.indexOf('.');
     return dot < 0 ? task : task.substring(0, dot);
   }
--- a/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
@@ -38,7 +38,7 @@
    * @param where the worker, owner or process that it is about
    */
   void note(String event, String task, String where, String outcome) {
-    String job = task.isEmpty() ? "" : TaskNames.jobOf(task);
+    String job = task.isEmpty() ? "" : TaskNames.jobIdOf(task);
     effects.add(new HostEffect.Noted(new Decision(event, job, task, where, outcome)));
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
+++ b/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
@@ -24,7 +24,7 @@
 
   /** Returns until when a lease that is granted now may keep the runs of a worker going. */
   long latestOverMs(WorkerLife life, long nowMs) {
-    long latestMs = nowMs + timing.workerOverAfterMs();
+    long latestMs = nowMs + timing.workerRunsOverAfterMs();
     for (HostedRun run : life.runs()) {
       latestMs = Math.min(latestMs, Math.min(run.dueOverMs(), dueOverMs(run)));
     }
@@ -44,7 +44,7 @@
 
   /** Returns when a run is due to be over that is to be stopped now. */
   long ofStop(long nowMs) {
-    return nowMs + timing.workerOverAfterMs();
+    return nowMs + timing.workerRunsOverAfterMs();
   }
 
   /** Returns whether a run that starts now can have a lease that is of use. */
--- a/core/src/main/java/io/hingehoist/run/host/OwnerDesk.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerDesk.java
@@ -57,7 +57,7 @@
     this.sharing = sharing;
     this.outbox = outbox;
     // What the last life of this host had ordered runs on for no longer than its lease.
-    this.quietAtMs = nowMs + timing.workerOverAfterMs();
+    this.quietAtMs = nowMs + timing.workerRunsOverAfterMs();
   }
 
   /** Notes a session of an owner, and tells it when every run of its earlier ones is over. */
@@ -113,7 +113,7 @@
    * started.
    */
   private static boolean endsTooEarly(OwnerSession session, long nowMs) {
-    return session.lease.leftMs(nowMs) < RunTiming.BEAT_MS;
+    return session.lease.leftMs(nowMs) < RunTiming.HEARTBEAT_PERIOD_MS;
   }
 
   /**
@@ -213,7 +213,8 @@
   private static boolean isOver(OwnerSession session, long nowMs) {
     boolean leaseOver = session.lease.isOver(nowMs);
     return leaseOver
-        && (session.runCount > 0 || session.lease.ageMs(nowMs) >= RunTiming.IDLE_SESSION_MS);
+        && (session.runCount > 0
+            || session.lease.ageMs(nowMs) >= RunTiming.IDLE_SESSION_TIMEOUT_MS);
   }
 
   /** Tells owners whose runs of earlier sessions have come to their ends. */
--- a/core/src/main/java/io/hingehoist/run/host/ProgressWatch.java
+++ b/core/src/main/java/io/hingehoist/run/host/ProgressWatch.java
@@ -93,7 +93,7 @@
     workMs += run.estimateMs * percent / (double) ALL_DONE;
     runMs += tookMs;
     expectedPercent += usualRate * tookMs * ALL_DONE / run.estimateMs;
-    jobs.add(TaskNames.jobOf(run.run.task()));
+    jobs.add(TaskNames.jobIdOf(run.run.task()));
   }
 
   /** Judges what was noted, if it is enough. Returns whether the pace is another one now. */
--- a/core/src/main/java/io/hingehoist/run/host/RoomOffers.java
+++ b/core/src/main/java/io/hingehoist/run/host/RoomOffers.java
@@ -49,7 +49,7 @@
   void taken(long sessionId, Room need) {
     Offer offer = bySession.get(sessionId);
     if (offer != null) {
-      offer.room = Rooms.atLeastNone(Rooms.minus(offer.room, need));
+      offer.room = Rooms.clampToZero(Rooms.minus(offer.room, need));
       if (offer.room.equals(Rooms.none())) {
         bySession.remove(sessionId);
       }
--- a/core/src/main/java/io/hingehoist/run/host/StartGate.java
+++ b/core/src/main/java/io/hingehoist/run/host/StartGate.java
@@ -1,7 +1,7 @@
 package io.hingehoist.run.host;
 
 import io.hingehoist.message.EvacuatedZones;
-import io.hingehoist.run.ZoneKnowledge;
+import io.hingehoist.run.EvacuatedZonesView;
 
 /**
  * Whether a host may start anything at all: not while it stops, and not in an availability zone
@@ -9,7 +9,7 @@
  */
 final class StartGate {
   private final String zone;
-  private final ZoneKnowledge zones = ZoneKnowledge.create();
+  private final EvacuatedZonesView zones = EvacuatedZonesView.create();
   private boolean zoneIsOpen;
   private boolean stopping;
   private long refusedForZone;
@@ -22,13 +22,13 @@
     return zone;
   }
 
-  ZoneKnowledge zones() {
+  EvacuatedZonesView zones() {
     return zones;
   }
 
   /** Takes word of the evacuated zones; returns whether it is news. */
   boolean learn(EvacuatedZones heard, long nowMs) {
-    boolean news = zones.learn(heard, nowMs);
+    boolean news = zones.update(heard, nowMs);
     if (news) {
       zoneIsOpen = zones.allowsStartsIn(zone);
     }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
@@ -4,8 +4,8 @@
 import io.hingehoist.message.OwnerWaiting;
 import io.hingehoist.message.RunRef;
 import io.hingehoist.message.StartRuns;
+import io.hingehoist.run.EvacuatedZonesView;
 import io.hingehoist.run.RunTiming;
-import io.hingehoist.run.ZoneKnowledge;
 import java.util.List;
 
 /**
@@ -182,7 +182,7 @@
   }
 
   /** Returns what is known of the evacuated availability zones. */
-  public ZoneKnowledge zones() {
+  public EvacuatedZonesView zones() {
     return gate.zones();
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/WorkerLife.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerLife.java
@@ -109,7 +109,7 @@
    */
   long grantLease(long overAtMs, long nowMs) {
     leaseOverAtMs = Math.max(leaseOverAtMs, overAtMs);
-    return clockAt(nowMs) + timing.workerLeaseOverAfterMs(leaseOverAtMs - nowMs);
+    return clockAt(nowMs) + timing.workerLeaseEndingWithinMs(leaseOverAtMs - nowMs);
   }
 
   boolean isLeaseOver(long nowMs) {
@@ -156,7 +156,7 @@
   /** Returns whether there is hardly room for a run with such a need. */
   boolean isTightFor(Room need) {
     Room free = free();
-    return Rooms.isTight(free, info.capacity()) || !Rooms.fits(need, free);
+    return Rooms.isNearlyFull(free, info.capacity()) || !Rooms.fits(need, free);
   }
 
   /** Notes a run that ended well. */
--- a/core/src/main/java/io/hingehoist/run/load/FollowedCount.java
+++ b/core/src/main/java/io/hingehoist/run/load/FollowedHostCount.java
@@ -10,7 +10,7 @@
  * proportion to the room that its work takes. What waits says nothing here: in a general lack of
  * room all would follow more, and get in each other's way. Not thread-safe.
  */
-public final class FollowedCount {
+public final class FollowedHostCount {
   /** Followed room as a multiple of the room that is taken: most of it is taken by others. */
   private static final double ROOM_FACTOR = 3;
 
@@ -27,7 +27,7 @@
   private int count;
   private double meanHosts;
 
-  private FollowedCount(int usual) {
+  private FollowedHostCount(int usual) {
     this.usual = usual;
     this.count = usual;
   }
@@ -37,8 +37,8 @@
    *
    * @param usual the least number of hosts to follow, at least 1
    */
-  public static FollowedCount of(int usual) {
-    return new FollowedCount(usual);
+  public static FollowedHostCount of(int usual) {
+    return new FollowedHostCount(usual);
   }
 
   /** Returns how many hosts to follow now. */
@@ -51,7 +51,7 @@
    *
    * @param takenHosts the room that this owner's runs take, in hosts of mean size
    */
-  public void look(double takenHosts) {
+  public void sample(double takenHosts) {
     meanHosts += WEIGHT * (takenHosts - meanHosts);
     double wanted = Math.min(ROOM_FACTOR * meanHosts, (double) usual * MAX_FACTOR);
     int next = (int) Math.max(usual, Math.round(wanted));
--- a/core/src/main/java/io/hingehoist/run/load/Door.java
+++ b/core/src/main/java/io/hingehoist/run/load/RefusalPolicy.java
@@ -9,7 +9,7 @@
  * <p>It answers two loads: more work than room, where what is not begun by a part of its time
  * hardly ever earns anything afterwards; and no worker at all, as after a loss of power.
  */
-public final class Door {
+public final class RefusalPolicy {
   private static final long RETRY_AFTER_MS = 1_000;
 
   /**
@@ -36,7 +36,7 @@
    */
   private static final long FLEET_KNOWN_AFTER_MS = 2_000;
 
-  private Door() {}
+  private RefusalPolicy() {}
 
   /**
    * Returns why a job is to be refused that has a task which fits no known worker, even an empty
@@ -44,7 +44,7 @@
    *
    * @param fleetKnownForMs the time since a worker was first known
    */
-  public static Optional<Refusal> refusalOfTooWide(long fleetKnownForMs) {
+  public static Optional<Refusal> refusalOfOversized(long fleetKnownForMs) {
     return fleetKnownForMs < FLEET_KNOWN_AFTER_MS
         ? Optional.empty()
         : Optional.of(new Refusal("wider than every worker", RETRY_AFTER_MS));
@@ -54,15 +54,15 @@
    * Returns why a job that was not started is to be refused now; empty if it may go on waiting.
    *
    * @param waitedMs the time since it was taken
-   * @param worthlessAfterMs the time after which its answer is worth nothing
+   * @param expiresAfterMs the time after which its answer is worth nothing
    * @param withoutWorkersMs the time since a worker was last known that takes runs
    */
-  public static Optional<Refusal> refusalOfUnbegun(
-      long waitedMs, long worthlessAfterMs, long withoutWorkersMs) {
-    if (waitedMs >= UNBEGUN_SHARE * worthlessAfterMs) {
+  public static Optional<Refusal> refusalOfUnstarted(
+      long waitedMs, long expiresAfterMs, long withoutWorkersMs) {
+    if (waitedMs >= UNBEGUN_SHARE * expiresAfterMs) {
       return Optional.of(new Refusal("no room in time", RETRY_AFTER_MS));
     }
-    if (worthlessAfterMs < PATIENCE_WITHOUT_WORKERS_MS && withoutWorkersMs >= WITHOUT_WORKERS_MS) {
+    if (expiresAfterMs < PATIENCE_WITHOUT_WORKERS_MS && withoutWorkersMs >= WITHOUT_WORKERS_MS) {
       return Optional.of(new Refusal("no worker is known", RETRY_AFTER_MS));
     }
     return Optional.empty();
--- a/core/src/main/java/io/hingehoist/run/load/Reservation.java
+++ b/core/src/main/java/io/hingehoist/run/load/UrgentReservation.java
@@ -12,7 +12,7 @@
  * reservation they are served, and long work comes later, or late; that is for operators to choose,
  * so without the setting nothing is kept. Work that is begun goes on. Not thread-safe.
  */
-public final class Reservation {
+public final class UrgentReservation {
   /**
    * Tasks that take so many times as long as more urgent ones count as long. Queues are compared,
    * as single estimates are rough.
@@ -32,7 +32,7 @@
   private final double share;
   private final Map<Integer, Queue> byPriority = new HashMap<>();
 
-  private Reservation(double share) {
+  private UrgentReservation(double share) {
     this.share = share;
   }
 
@@ -41,8 +41,8 @@
    *
    * @param percent of all room, 0 for none
    */
-  public static Reservation ofPercent(int percent) {
-    return new Reservation(percent / 100.0);
+  public static UrgentReservation ofPercent(int percent) {
+    return new UrgentReservation(percent / 100.0);
   }
 
   /** Notes work that came, and the time that a task of it is expected to run. */
--- a/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
+++ b/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
@@ -12,9 +12,9 @@
 import io.hingehoist.run.JobPlan;
 import io.hingehoist.run.RunTiming;
 import io.hingehoist.run.TaskNames;
-import io.hingehoist.run.load.Door;
-import io.hingehoist.run.load.FollowedCount;
-import io.hingehoist.run.load.Reservation;
+import io.hingehoist.run.load.FollowedHostCount;
+import io.hingehoist.run.load.RefusalPolicy;
+import io.hingehoist.run.load.UrgentReservation;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,7 +26,7 @@
  * The decisions of an owner: which run of which task is ordered at which worker, when a lost one
  * may be started again, and when a job is answered.
  *
- * <p>Call a method for each event, then {@link #place}, then carry out {@link #takeEffects} in
+ * <p>Call a method for each event, then {@link #place}, then carry out {@link #drainEffects} in
  * order. A task has at most one run that is not provably over. Times are milliseconds of a clock
  * that never goes back. Not thread-safe: one thread owns it.
  */
@@ -45,7 +45,7 @@
   private final RunTiming timing;
   private final SpeedTable speeds = new SpeedTable();
   private final WorkerChoice choice = new WorkerChoice(speeds);
-  private final FollowedCount followedCount;
+  private final FollowedHostCount followedCount;
   private final HostViews hosts;
   private final RunPlacement placement;
   private final RunWatch watch;
@@ -58,9 +58,9 @@
   private OptionalLong fleetKnownAtMs = OptionalLong.empty();
 
   private JobOwner(
-      RunTiming timing, FollowedHosts followed, int followedHosts, Reservation reservation) {
+      RunTiming timing, FollowedHosts followed, int followedHosts, UrgentReservation reservation) {
     this.timing = timing;
-    this.followedCount = FollowedCount.of(followedHosts);
+    this.followedCount = FollowedHostCount.of(followedHosts);
     this.hosts = new HostViews(followed);
     this.placement =
         new RunPlacement(hosts, choice, reservation, outbox, task -> active.put(task.name(), task));
@@ -78,7 +78,7 @@
    * @param followedHosts the number of hosts that get work first, those of its zone before others
    */
   public static JobOwner create(RunTiming timing, String ownerId, String zone, int followedHosts) {
-    return create(timing, ownerId, zone, followedHosts, Reservation.ofPercent(0));
+    return create(timing, ownerId, zone, followedHosts, UrgentReservation.ofPercent(0));
   }
 
   /**
@@ -88,13 +88,17 @@
    * @param reservation the room that long work leaves to urgent work
    */
   public static JobOwner create(
-      RunTiming timing, String ownerId, String zone, int followedHosts, Reservation reservation) {
+      RunTiming timing,
+      String ownerId,
+      String zone,
+      int followedHosts,
+      UrgentReservation reservation) {
     return new JobOwner(
         timing, new FollowedHosts(ownerId, zone, followedHosts), followedHosts, reservation);
   }
 
   /** Returns what is to be done since the last call, in order. */
-  public List<OwnerEffect> takeEffects() {
+  public List<OwnerEffect> drainEffects() {
     return outbox.take();
   }
 
@@ -115,7 +119,7 @@
   }
 
   /** Drops a job whose caller is gone, and stops its runs. */
-  public void abandon(String jobId, String reason) {
+  public void drop(String jobId, String reason) {
     OwnedJob job = jobs.get(jobId);
     if (job != null) {
       end(job, new JobEnd.Dropped(reason));
@@ -143,7 +147,7 @@
   }
 
   /** Returns the number of jobs of a queue none of whose tasks was started. */
-  public long pendingCount(String queueName) {
+  public long unstartedJobCount(String queueName) {
     return jobs.values().stream()
         .filter(job -> !job.mayHaveStarted() && job.plan().queue().equals(queueName))
         .count();
@@ -155,12 +159,12 @@
   }
 
   /** Returns the number of tasks that wait for room. */
-  public int queuedCount() {
+  public int waitingTaskCount() {
     return placement.waitingCount();
   }
 
   /** Returns the number of runs that are ordered and not known to be over. */
-  public int activeCount() {
+  public int activeRunCount() {
     return active.size();
   }
 
@@ -217,7 +221,8 @@
     if (!hosts.remove(hostId)) {
       return;
     }
-    long overAfterMs = silent ? timing.overAfterSilenceMs() : timing.overAfterBreakMs();
+    long overAfterMs =
+        silent ? timing.runsOverAfterSilenceMs() : timing.runsOverAfterDisconnectMs();
     int uncertain = 0;
     for (OwnedTask task : active.values()) {
       if (task.hostId().equals(hostId) && task.isOrdered()) {
@@ -236,7 +241,7 @@
   }
 
   /** Takes what a host shows of its workers. */
-  public void hostRows(String hostId, HostRows rows, long nowMs) {
+  public void hostRowsReceived(String hostId, HostRows rows, long nowMs) {
     hosts
         .find(hostId)
         .ifPresent(
@@ -251,7 +256,7 @@
   public void workerCrashed(WorkerCrashed news, long nowMs) {
     crashes.note(news, nowMs);
     for (String name : news.tasks()) {
-      OwnedJob job = jobs.get(TaskNames.jobOf(name));
+      OwnedJob job = jobs.get(TaskNames.jobIdOf(name));
       if (job != null) {
         noteCrashes(job, nowMs);
       }
@@ -372,7 +377,7 @@
         stop(task);
       }
     }
-    outbox.add(new OwnerEffect.Answer(job.plan().jobId(), end));
+    outbox.add(new OwnerEffect.AnswerJob(job.plan().jobId(), end));
   }
 
   private void stop(OwnedTask task) {
@@ -403,7 +408,7 @@
     for (OwnedJob job : List.copyOf(jobs.values())) {
       refuseIfHopeless(job, nowMs);
     }
-    followedCount.look(takenHosts());
+    followedCount.sample(takenHosts());
     hosts.follow(followedCount.count()).forEach(placement::tellWaitingTo);
     placement.putLateBehind(task -> speeds.expectedMs(task.plan().estimateMs()), nowMs);
   }
@@ -423,19 +428,20 @@
     if (job.mayHaveStarted()) {
       return;
     }
-    long worthlessAfterMs = job.plan().worthlessAfterMs();
-    Door.refusalOfUnbegun(job.waitedMs(nowMs), worthlessAfterMs, nowMs - readyAtMs)
+    long expiresAfterMs = job.plan().expiresAfterMs();
+    RefusalPolicy.refusalOfUnstarted(job.waitedMs(nowMs), expiresAfterMs, nowMs - readyAtMs)
         .ifPresentOrElse(no -> refuse(job, no), () -> refuseIfTooWide(job, nowMs));
   }
 
   /** Room that no worker has, even an empty one, will not become free. */
   private void refuseIfTooWide(OwnedJob job, long nowMs) {
     if (fleetKnownAtMs.isPresent() && hosts.isWiderThanAll(job.plan())) {
-      Door.refusalOfTooWide(nowMs - fleetKnownAtMs.getAsLong()).ifPresent(no -> refuse(job, no));
+      RefusalPolicy.refusalOfOversized(nowMs - fleetKnownAtMs.getAsLong())
+          .ifPresent(no -> refuse(job, no));
     }
   }
 
-  private void refuse(OwnedJob job, Door.Refusal refusal) {
+  private void refuse(OwnedJob job, RefusalPolicy.Refusal refusal) {
     end(job, new JobEnd.Refused(refusal.reason(), refusal.retryAfterMs()));
   }
 
--- a/core/src/main/java/io/hingehoist/run/owner/OwnedJob.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OwnedJob.java
@@ -100,7 +100,7 @@
   }
 
   private boolean isFree(int step) {
-    for (int before : plan.steps().get(step).after()) {
+    for (int before : plan.steps().get(step).dependsOn()) {
       if (openTasks[before] > 0) {
         return false;
       }
--- a/core/src/main/java/io/hingehoist/run/owner/OwnerEffect.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OwnerEffect.java
@@ -8,11 +8,11 @@
 public sealed interface OwnerEffect {
 
   /** Sends a message to a host on its open session. */
-  record ToHost(String hostId, Message message) implements OwnerEffect {}
+  record SendToHost(String hostId, Message message) implements OwnerEffect {}
 
   /** Answers everyone who waits for a job. */
-  record Answer(String jobId, JobEnd end) implements OwnerEffect {}
+  record AnswerJob(String jobId, JobEnd end) implements OwnerEffect {}
 
   /** Writes a decision to the log. */
-  record Noted(Decision decision) implements OwnerEffect {}
+  record LogDecision(Decision decision) implements OwnerEffect {}
 }
--- a/core/src/main/java/io/hingehoist/run/owner/OwnerOutbox.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OwnerOutbox.java
@@ -14,12 +14,12 @@
   }
 
   void send(String hostId, Message message) {
-    effects.add(new OwnerEffect.ToHost(hostId, message));
+    effects.add(new OwnerEffect.SendToHost(hostId, message));
   }
 
   /** Writes a decision to the log; names that it is not about are empty. */
   void note(String event, String job, String task, String where, String outcome) {
-    effects.add(new OwnerEffect.Noted(new Decision(event, job, task, where, outcome)));
+    effects.add(new OwnerEffect.LogDecision(new Decision(event, job, task, where, outcome)));
   }
 
   /** Returns the effects since the last call. */
--- a/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
+++ b/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
@@ -129,7 +129,7 @@
    */
   private void noteMiss(OwnedTask task) {
     StepPlan step = task.plan();
-    boolean isLikeOthers = step.mostPerWorker() == 0 && !task.isSuspect();
+    boolean isLikeOthers = step.maxTasksPerWorker() == 0 && !task.isSuspect();
     if (isLikeOthers && !choice.waitsForFaster(task, all, leavesOut(task), nowMs)) {
       misses.add(new Miss(task.job().plan().service(), step.requires(), step.need()));
     }
--- a/core/src/main/java/io/hingehoist/run/owner/RunPlacement.java
+++ b/core/src/main/java/io/hingehoist/run/owner/RunPlacement.java
@@ -2,7 +2,7 @@
 
 import io.hingehoist.message.OwnerWaiting;
 import io.hingehoist.run.load.Lateness;
-import io.hingehoist.run.load.Reservation;
+import io.hingehoist.run.load.UrgentReservation;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -15,7 +15,7 @@
 final class RunPlacement {
   private final HostViews hosts;
   private final WorkerChoice choice;
-  private final Reservation reservation;
+  private final UrgentReservation reservation;
   private final OwnerOutbox outbox;
   private final Consumer<OwnedTask> onOrdered;
   private final WaitingTasks waiting = new WaitingTasks();
@@ -30,7 +30,7 @@
   RunPlacement(
       HostViews hosts,
       WorkerChoice choice,
-      Reservation reservation,
+      UrgentReservation reservation,
       OwnerOutbox outbox,
       Consumer<OwnedTask> onOrdered) {
     this.reservation = reservation;
--- a/core/src/main/java/io/hingehoist/run/owner/SleepDoubt.java
+++ b/core/src/main/java/io/hingehoist/run/owner/SleepCheck.java
@@ -5,7 +5,7 @@
  * have stopped its runs and its callers are elsewhere, so that it must start and answer nothing. A
  * host that still has its session proves that it did not. Not thread-safe.
  */
-public final class SleepDoubt {
+public final class SleepCheck {
   /** Some round trips to a host that is well, and short beside the time of a job. */
   private static final long PATIENCE_MS = 300;
 
@@ -14,22 +14,22 @@
   private int asked;
   private long sinceMs;
 
-  private SleepDoubt() {}
+  private SleepCheck() {}
 
   /** Returns a doubt that is not open. */
-  public static SleepDoubt create() {
-    return new SleepDoubt();
+  public static SleepCheck create() {
+    return new SleepCheck();
   }
 
   /** Returns the number of the next probe. */
-  public long nextNumber() {
+  public long nextProbeNumber() {
     return number + 1;
   }
 
   /**
    * Opens the doubt; returns the number that a proof must bear.
    *
-   * @param hostsAsked the number of hosts that were sent a probe with {@link #nextNumber}
+   * @param hostsAsked the number of hosts that were sent a probe with {@link #nextProbeNumber}
    */
   public long begin(int hostsAsked, long nowMs) {
     open = true;
@@ -39,14 +39,14 @@
   }
 
   /** Takes a host's proof that its session with this owner goes on. */
-  public void proven(long proofNumber) {
+  public void proofReceived(long proofNumber) {
     if (proofNumber == number) {
       open = false;
     }
   }
 
   /** Returns whether nothing may go out. */
-  public boolean isOpen() {
+  public boolean isPending() {
     return open;
   }
 
--- a/core/src/main/java/io/hingehoist/run/owner/WorkerChoice.java
+++ b/core/src/main/java/io/hingehoist/run/owner/WorkerChoice.java
@@ -144,8 +144,8 @@
     if (!step.requires().isEmpty() && !worker.row().labels().contains(step.requires())) {
       return false;
     }
-    if (step.mostPerWorker() > 0
-        && task.job().countOn(worker.row().workerId(), task.step()) >= step.mostPerWorker()) {
+    if (step.maxTasksPerWorker() > 0
+        && task.job().countOn(worker.row().workerId(), task.step()) >= step.maxTasksPerWorker()) {
       return false;
     }
     return !leavesOut || !(isSlow(worker, nowMs) || isBusyOnTrial(worker, nowMs));
--- a/core/src/main/java/io/hingehoist/run/owner/WorkerView.java
+++ b/core/src/main/java/io/hingehoist/run/owner/WorkerView.java
@@ -84,7 +84,7 @@
     activeRuns--;
     suspects.remove(task);
     // A worker that is nearly full is shared out by its host, which may offer the room to another.
-    if (!Rooms.isTight(row.free(), row.capacity())) {
+    if (!Rooms.isNearlyFull(row.free(), row.capacity())) {
       free = Rooms.plus(free, need);
     }
   }
--- a/core/src/test/java/io/hingehoist/run/PlayedBurstMain.java
+++ b/core/src/test/java/io/hingehoist/run/BurstSimulationMain.java
@@ -5,13 +5,13 @@
 import java.util.stream.LongStream;
 
 /** Prints how callers fare in bursts, by fleet, to weigh decisions under load. */
-final class PlayedBurstMain {
+final class BurstSimulationMain {
   private record Fleet(int owners, int hosts, int followedHosts) {}
 
   private record Named(
-      String name, double load, PlayedLoad.Burst burst, PlayedLoad.Trouble trouble) {
-    private Named(String name, double load, PlayedLoad.Burst burst) {
-      this(name, load, burst, PlayedLoad.Trouble.NONE);
+      String name, double load, LoadSimulation.Burst burst, LoadSimulation.Trouble trouble) {
+    private Named(String name, double load, LoadSimulation.Burst burst) {
+      this(name, load, burst, LoadSimulation.Trouble.NONE);
     }
   }
 
@@ -19,25 +19,25 @@
 
   private static final List<Named> BURSTS =
       List.of(
-          new Named("none", 1.0, PlayedLoad.Burst.NONE),
-          new Named("none", 1.2, PlayedLoad.Burst.NONE),
-          new Named("none", 1.35, PlayedLoad.Burst.NONE),
-          new Named("all x1.7", 1.0, new PlayedLoad.Burst(-1, 1.7, 3_000, 6_000)),
-          new Named("long x2.1", 1.15, new PlayedLoad.Burst(2, 2.1, 3_000, 7_000)),
-          new Named("middle x1.8", 1.15, new PlayedLoad.Burst(1, 1.8, 3_000, 7_000)),
-          new Named("short x1.6", 1.15, new PlayedLoad.Burst(0, 1.6, 3_000, 7_000)),
+          new Named("none", 1.0, LoadSimulation.Burst.NONE),
+          new Named("none", 1.2, LoadSimulation.Burst.NONE),
+          new Named("none", 1.35, LoadSimulation.Burst.NONE),
+          new Named("all x1.7", 1.0, new LoadSimulation.Burst(-1, 1.7, 3_000, 6_000)),
+          new Named("long x2.1", 1.15, new LoadSimulation.Burst(2, 2.1, 3_000, 7_000)),
+          new Named("middle x1.8", 1.15, new LoadSimulation.Burst(1, 1.8, 3_000, 7_000)),
+          new Named("short x1.6", 1.15, new LoadSimulation.Burst(0, 1.6, 3_000, 7_000)),
           new Named(
               "long, hung",
               1.1,
-              new PlayedLoad.Burst(2, 2.1, 2_800, 8_600),
-              new PlayedLoad.Trouble(0.23, 0, 2_000, 7_400)),
+              new LoadSimulation.Burst(2, 2.1, 2_800, 8_600),
+              new LoadSimulation.Trouble(0.23, 0, 2_000, 7_400)),
           new Named(
               "all, hung",
               1.0,
-              new PlayedLoad.Burst(-1, 1.7, 2_800, 5_800),
-              new PlayedLoad.Trouble(0.14, 0, 2_000, 7_400)));
+              new LoadSimulation.Burst(-1, 1.7, 2_800, 5_800),
+              new LoadSimulation.Trouble(0.14, 0, 2_000, 7_400)));
 
-  private PlayedBurstMain() {}
+  private BurstSimulationMain() {}
 
   /** Plays bursts; the first argument is how many seeds. */
   public static void main(String[] args) {
@@ -53,12 +53,12 @@
   }
 
   private static void print(Fleet fleet, Named named, int seeds) {
-    List<PlayedLoad> loads =
+    List<LoadSimulation> loads =
         LongStream.rangeClosed(1, seeds)
             .parallel()
             .mapToObj(
                 seed ->
-                    PlayedLoad.playBurst(
+                    LoadSimulation.playBurst(
                         seed,
                         fleet.owners(),
                         fleet.hosts(),
@@ -73,26 +73,26 @@
         fleet.hosts(),
         named.name(),
         named.load(),
-        mean(loads, PlayedLoad::earnedShare),
+        mean(loads, LoadSimulation::earnedShare),
         mean(loads, load -> load.earnedShareOf(0)),
         mean(loads, load -> load.earnedShareOf(1)),
         mean(loads, load -> load.earnedShareOf(2)),
         mean(loads, load -> share(load, load.served().late())),
         mean(loads, load -> load.served().unservedShare()),
         mean(loads, load -> share(load, load.served().unservedWithRoom())),
-        mean(loads, PlayedLoad::heldShare),
-        mean(loads, PlayedLoad::refusals),
+        mean(loads, LoadSimulation::heldShare),
+        mean(loads, LoadSimulation::refusals),
         mean(loads, load -> load.servedOf(0).unservedShare()),
         mean(loads, load -> load.servedOf(1).unservedShare()),
         mean(loads, load -> load.servedOf(2).unservedShare()));
   }
 
-  private static double share(PlayedLoad load, int callers) {
-    PlayedLoad.Served served = load.served();
+  private static double share(LoadSimulation load, int callers) {
+    LoadSimulation.Served served = load.served();
     return (double) callers / (served.inTime() + served.late() + served.unserved());
   }
 
-  private static double mean(List<PlayedLoad> loads, ToDoubleFunction<PlayedLoad> figure) {
+  private static double mean(List<LoadSimulation> loads, ToDoubleFunction<LoadSimulation> figure) {
     return loads.stream().mapToDouble(figure).average().orElse(0);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/ZoneKnowledgeTest.java
+++ b/core/src/test/java/io/hingehoist/run/EvacuatedZonesViewTest.java
@@ -9,25 +9,25 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-public final class ZoneKnowledgeTest {
+public final class EvacuatedZonesViewTest {
   private static EvacuatedZones zones(long version, String... names) {
     return new EvacuatedZones(version, List.of(names));
   }
 
   @Test
   public void nothingMayStartBeforeAnythingWasHeard() {
-    ZoneKnowledge knowledge = ZoneKnowledge.create();
+    EvacuatedZonesView knowledge = EvacuatedZonesView.create();
     assertFalse(knowledge.allowsStartsIn("z1"));
-    assertTrue(knowledge.learn(zones(0), 1_000));
+    assertTrue(knowledge.update(zones(0), 1_000));
     assertTrue(knowledge.allowsStartsIn("z1"));
   }
 
   @Test
   public void anOlderWordChangesNothing() {
-    ZoneKnowledge knowledge = ZoneKnowledge.create();
-    knowledge.learn(zones(2, "z1"), 1_000);
-    assertFalse(knowledge.learn(zones(1), 2_000));
-    assertFalse(knowledge.learn(zones(2, "z1"), 2_000));
+    EvacuatedZonesView knowledge = EvacuatedZonesView.create();
+    knowledge.update(zones(2, "z1"), 1_000);
+    assertFalse(knowledge.update(zones(1), 2_000));
+    assertFalse(knowledge.update(zones(2, "z1"), 2_000));
     assertFalse(knowledge.allowsStartsIn("z1"));
     assertTrue(knowledge.allowsStartsIn("z2"));
     assertEquals(knowledge.ageMs(3_000), 2_000);
@@ -41,17 +41,20 @@
   public void wordsThatArePassedOnInAnyOrderEndWithTheHighestVersion() {
     for (long seed = 0; seed < 200; seed++) {
       Random random = new Random(seed);
-      List<ZoneKnowledge> processes =
-          List.of(ZoneKnowledge.create(), ZoneKnowledge.create(), ZoneKnowledge.create());
+      List<EvacuatedZonesView> processes =
+          List.of(
+              EvacuatedZonesView.create(),
+              EvacuatedZonesView.create(),
+              EvacuatedZonesView.create());
       List<EvacuatedZones> versions = List.of(zones(1, "z1"), zones(2), zones(3, "z1", "z2"));
       // The first process is told by replicas, in any order; the second reaches only the first.
       for (int told = 0; told < 30; told++) {
         EvacuatedZones heard = versions.get(told < 29 ? random.nextInt(versions.size()) : 2);
-        if (processes.get(0).learn(heard, told) && processes.get(1).learn(heard, told)) {
-          processes.get(2).learn(heard, told);
+        if (processes.get(0).update(heard, told) && processes.get(1).update(heard, told)) {
+          processes.get(2).update(heard, told);
         }
       }
-      for (ZoneKnowledge process : processes) {
+      for (EvacuatedZonesView process : processes) {
         assertEquals(process.newest().orElseThrow(), versions.get(2), "seed " + seed);
       }
     }
--- a/core/src/test/java/io/hingehoist/run/StandInWorker.java
+++ b/core/src/test/java/io/hingehoist/run/FakeWorker.java
@@ -17,7 +17,7 @@
  * A worker as the platform describes it, played in memory: it keeps leases by its own slow clock,
  * tokens, barred numbers and numbered ends, and starts whatever it is told, with or without room.
  */
-final class StandInWorker {
+final class FakeWorker {
   static final Room CAPACITY = new Room(8_000, 8_000, 0);
   private static final long MAX_LEASE_MS = 1_000;
   private static final double CLOCK_RATE = 0.98;
@@ -52,7 +52,7 @@
   boolean up = true;
   boolean failsAll;
 
-  StandInWorker(String id, String address) {
+  FakeWorker(String id, String address) {
     this.id = id;
     this.address = address;
   }
--- a/core/src/test/java/io/hingehoist/run/SentRowsTest.java
+++ b/core/src/test/java/io/hingehoist/run/HostRowsEncoderTest.java
@@ -15,11 +15,11 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-public final class SentRowsTest {
+public final class HostRowsEncoderTest {
   private static final Room CAPACITY = new Room(16_000, 64_000, 0);
 
-  private final SentRows sent = SentRows.create();
-  private final ReceivedRows received = ReceivedRows.create();
+  private final HostRowsEncoder sent = HostRowsEncoder.create();
+  private final HostRowsDecoder received = HostRowsDecoder.create();
 
   private static WorkerRow row(String workerId, Room capacity, long freeCpu) {
     return new WorkerRow(
@@ -35,21 +35,21 @@
 
   /** Sends rows and returns what the other end makes of them. */
   private HostRows shown(HostRows rows) {
-    return switch (sent.toSend(rows)) {
+    return switch (sent.encode(rows)) {
       case HostRows whole -> {
-        received.take(whole);
+        received.recordFull(whole);
         yield whole;
       }
-      case HostRooms rooms -> received.expand(rooms).orElseThrow();
+      case HostRooms rooms -> received.decode(rooms).orElseThrow();
       default -> throw new AssertionError("neither form of rows");
     };
   }
 
   @Test
   public void whoTheWorkersAreIsSaidOnce() {
-    SentRows rows = SentRows.create();
-    assertTrue(rows.toSend(new HostRows(1, List.of(row("w", CAPACITY, 100)))) instanceof HostRows);
-    Message second = rows.toSend(new HostRows(2, List.of(row("w", CAPACITY, 90))));
+    HostRowsEncoder rows = HostRowsEncoder.create();
+    assertTrue(rows.encode(new HostRows(1, List.of(row("w", CAPACITY, 100)))) instanceof HostRows);
+    Message second = rows.encode(new HostRows(2, List.of(row("w", CAPACITY, 90))));
     assertTrue(second instanceof HostRooms);
     assertTrue(second.toBytes().size() < 20, "bytes " + second.toBytes().size());
   }
@@ -76,12 +76,12 @@
 
   @Test
   public void aShortFormOfOtherWorkersIsNotRead() {
-    ReceivedRows fresh = ReceivedRows.create();
+    HostRowsDecoder fresh = HostRowsDecoder.create();
     assertEquals(
-        fresh.expand(new HostRooms(1, List.of())), Optional.of(new HostRows(1, List.of())));
-    SentRows other = SentRows.create();
+        fresh.decode(new HostRooms(1, List.of())), Optional.of(new HostRows(1, List.of())));
+    HostRowsEncoder other = HostRowsEncoder.create();
     HostRows rows = new HostRows(1, List.of(row("w", CAPACITY, 100)));
-    other.toSend(rows);
-    assertEquals(fresh.expand((HostRooms) other.toSend(rows)), Optional.empty());
+    other.encode(rows);
+    assertEquals(fresh.decode((HostRooms) other.encode(rows)), Optional.empty());
   }
 }
--- a/core/src/test/java/io/hingehoist/run/PlayedLoad.java
+++ b/core/src/test/java/io/hingehoist/run/LoadSimulation.java
@@ -17,7 +17,7 @@
 import io.hingehoist.run.host.StartAnswer;
 import io.hingehoist.run.host.WorkerHost;
 import io.hingehoist.run.host.WorkerInfo;
-import io.hingehoist.run.load.Reservation;
+import io.hingehoist.run.load.UrgentReservation;
 import io.hingehoist.run.owner.JobOwner;
 import io.hingehoist.run.owner.OwnerEffect;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
  * pairs of middling ones, then a few long ones. A job earns its worth if it is complete by its
  * objective, a fifth of it up to three times as late.
  */
-final class PlayedLoad {
+final class LoadSimulation {
   private static final long LINK_MS = 1;
   private static final long WORKER_MS = 1;
   private static final long TICK_MS = 50;
@@ -201,7 +201,7 @@
       if (message instanceof StartRuns && openRuns(owner).isEmpty()) {
         beat(owner);
       }
-      openRuns(owner).note(message);
+      openRuns(owner).record(message);
       switch (message) {
         case OwnerWaiting news -> decisions.ownerWaiting(owner, news, nowMs);
         case StartRuns order -> {
@@ -216,7 +216,10 @@
 
     private void beat() {
       for (int owner = 0; owner < owners.size(); owner++) {
-        long periodMs = openRuns(owner).isEmpty() ? RunTiming.IDLE_BEAT_MS : RunTiming.BEAT_MS;
+        long periodMs =
+            openRuns(owner).isEmpty()
+                ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS
+                : RunTiming.HEARTBEAT_PERIOD_MS;
         if (nowMs - beatAtMs.getOrDefault(owner, -periodMs) >= periodMs) {
           beat(owner);
         }
@@ -260,13 +263,13 @@
 
     private void arrive(int owner, HostEffect.ToOwner to) {
       JobOwner jobs = owners.get(owner);
-      openRuns(owner).note(to.message());
+      openRuns(owner).record(to.message());
       switch (to.message()) {
         case SessionOpened opened ->
             jobs.sessionOpened(id, opened.zone(), 1, opened.formerRunsOver());
         case HostRows rows -> {
           rowsShown++;
-          jobs.hostRows(id, rows, nowMs);
+          jobs.hostRowsReceived(id, rows, nowMs);
         }
         case RunEnded end -> jobs.runEnded(id, end, nowMs);
         case RunNotStarted report -> {
@@ -275,7 +278,7 @@
         }
         default -> throw new IllegalStateException("not for an owner: " + to.message());
       }
-      PlayedLoad.this.settle(owner);
+      LoadSimulation.this.settle(owner);
     }
 
     private void start(HostEffect.CallStart call) {
@@ -364,7 +367,7 @@
   private long nowMs = 1;
   private int jobCount;
 
-  private PlayedLoad(
+  private LoadSimulation(
       long seed,
       Mix mix,
       int ownerCount,
@@ -375,7 +378,7 @@
     this(seed, mix, ownerCount, hostCount, followedHosts, trouble, uneven, 0);
   }
 
-  private PlayedLoad(
+  private LoadSimulation(
       long seed,
       Mix mix,
       int ownerCount,
@@ -392,7 +395,7 @@
     for (int i = 0; i < ownerCount; i++) {
       owners.add(
           JobOwner.create(
-              TIMING, "o" + i, "z", followedHosts, Reservation.ofPercent(reservedPercent)));
+              TIMING, "o" + i, "z", followedHosts, UrgentReservation.ofPercent(reservedPercent)));
     }
     for (int i = 0; i < hostCount; i++) {
       long cpu = i % 3 == 2 ? 24_000 : 16_000;
@@ -408,13 +411,13 @@
    * @param loadFactor the load as a multiple of the usual one, which fills some two thirds of the
    *     room of eleven workers
    */
-  static PlayedLoad play(
+  static LoadSimulation play(
       long seed, int ownerCount, int hostCount, double loadFactor, long lengthMs) {
     return play(seed, ownerCount, hostCount, hostCount, loadFactor, lengthMs, Trouble.NONE);
   }
 
   /** Plays a load on owners that follow some of the hosts closely, with a trouble of workers. */
-  static PlayedLoad play(
+  static LoadSimulation play(
       long seed,
       int ownerCount,
       int hostCount,
@@ -427,7 +430,7 @@
   }
 
   /** Plays a mix of work. */
-  static PlayedLoad play(
+  static LoadSimulation play(
       long seed,
       Mix mix,
       int ownerCount,
@@ -436,14 +439,15 @@
       double loadFactor,
       long lengthMs,
       Trouble trouble) {
-    PlayedLoad load =
-        new PlayedLoad(seed, mix, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
+    LoadSimulation load =
+        new LoadSimulation(
+            seed, mix, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
     load.run(loadFactor, lengthMs);
     return load;
   }
 
   /** Plays a burst on top of a load on owners that keep room for urgent work. */
-  static PlayedLoad playReserved(
+  static LoadSimulation playReserved(
       long seed,
       int ownerCount,
       int hostCount,
@@ -452,8 +456,8 @@
       Burst burst,
       Trouble trouble,
       int reservedPercent) {
-    PlayedLoad load =
-        new PlayedLoad(
+    LoadSimulation load =
+        new LoadSimulation(
             seed,
             Mix.EVEN,
             ownerCount,
@@ -468,7 +472,7 @@
   }
 
   /** Plays a burst on top of a load, with a trouble of workers. */
-  static PlayedLoad playBurst(
+  static LoadSimulation playBurst(
       long seed,
       int ownerCount,
       int hostCount,
@@ -476,8 +480,8 @@
       double loadFactor,
       Burst burst,
       Trouble trouble) {
-    PlayedLoad load =
-        new PlayedLoad(
+    LoadSimulation load =
+        new LoadSimulation(
             seed, Mix.EVEN, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
     load.burst = burst;
     load.run(loadFactor * hostCount / 11, BURST_LENGTH_MS);
@@ -485,12 +489,13 @@
   }
 
   /** Plays a load on an uneven fleet whose owners get these shares of the callers. */
-  static PlayedLoad playUnequalOwners(
+  static LoadSimulation playUnequalOwners(
       long seed, List<Double> ownerShares, int hostCount, int followedHosts, double loadFactor) {
     Unevenness uneven = new Unevenness(List.of(0.6, 1.0, 1.6), 0.03, 0.55);
     int ownerCount = ownerShares.size();
-    PlayedLoad load =
-        new PlayedLoad(seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
+    LoadSimulation load =
+        new LoadSimulation(
+            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
     load.ownerShares = ownerShares;
     load.run(loadFactor * hostCount / 11, UNEVEN_LENGTH_MS);
     return load;
@@ -508,15 +513,16 @@
   }
 
   /** Plays a load on an uneven fleet. */
-  static PlayedLoad playUneven(
+  static LoadSimulation playUneven(
       long seed,
       int ownerCount,
       int hostCount,
       int followedHosts,
       double loadFactor,
       Unevenness uneven) {
-    PlayedLoad load =
-        new PlayedLoad(seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
+    LoadSimulation load =
+        new LoadSimulation(
+            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
     load.run(loadFactor * hostCount / 11, UNEVEN_LENGTH_MS);
     return load;
   }
@@ -674,12 +680,12 @@
   private void settle(int owner) {
     JobOwner jobs = owners.get(owner);
     jobs.place(nowMs);
-    for (OwnerEffect effect : jobs.takeEffects()) {
+    for (OwnerEffect effect : jobs.drainEffects()) {
       switch (effect) {
-        case OwnerEffect.ToHost to ->
+        case OwnerEffect.SendToHost to ->
             after(LINK_MS, () -> hosts.get(to.hostId()).take(owner, to.message()));
-        case OwnerEffect.Answer answer -> answered(callers.get(answer.jobId()), answer.end());
-        case OwnerEffect.Noted noted -> {}
+        case OwnerEffect.AnswerJob answer -> answered(callers.get(answer.jobId()), answer.end());
+        case OwnerEffect.LogDecision noted -> {}
       }
     }
   }
--- a/core/src/test/java/io/hingehoist/run/PlayedLoadTest.java
+++ b/core/src/test/java/io/hingehoist/run/LoadSimulationTest.java
@@ -8,12 +8,12 @@
 import org.testng.annotations.Test;
 
 /** Bounds on what is earned under load; a seed plays the same each time. */
-public final class PlayedLoadTest {
+public final class LoadSimulationTest {
   private static final long LENGTH_MS = 10_000;
 
   @Test
   public void belowTheRoomNearlyEverythingIsInTime() {
-    assertTrue(PlayedLoad.play(1, 3, 11, 1.0, LENGTH_MS).earnedShare() > 0.97);
+    assertTrue(LoadSimulation.play(1, 3, 11, 1.0, LENGTH_MS).earnedShare() > 0.97);
   }
 
   /**
@@ -25,7 +25,7 @@
     int seeds = 8;
     long refusals = 0;
     for (long seed = 1; seed <= seeds; seed++) {
-      PlayedLoad load = PlayedLoad.play(seed, 3, 11, 1.5, LENGTH_MS);
+      LoadSimulation load = LoadSimulation.play(seed, 3, 11, 1.5, LENGTH_MS);
       assertTrue(load.earnedShareOf(0) > 0.9, "seed " + seed + " earned " + load.earnedShareOf(0));
       refusals += load.refusals();
     }
@@ -34,22 +34,22 @@
 
   @Test
   public void farOverTheRoomUrgentWorkIsStillServed() {
-    PlayedLoad load = PlayedLoad.play(1, 3, 11, 2.2, LENGTH_MS);
+    LoadSimulation load = LoadSimulation.play(1, 3, 11, 2.2, LENGTH_MS);
     assertTrue(load.earnedShareOf(0) > 0.75, "earned " + load.earnedShareOf(0));
   }
 
   /** Unbegun jobs held until they are worth nothing: 0.138 of the worth at this load. */
   @Test
   public void whatCannotBeBegunInTimeIsRefusedEarly() {
-    PlayedLoad load = PlayedLoad.play(1, 3, 11, 2.2, LENGTH_MS);
+    LoadSimulation load = LoadSimulation.play(1, 3, 11, 2.2, LENGTH_MS);
     assertTrue(load.heldShare() < 0.06, "held " + load.heldShare());
   }
 
   /** Each task on the worker with most room: 7,495 orders. */
   @Test
   public void slowWorkersMeetFewJobsAsTasksStayTogether() {
-    PlayedLoad.Trouble slow = new PlayedLoad.Trouble(0.16, 0.2, 2_000, 6_000);
-    PlayedLoad load = PlayedLoad.play(1, 6, 44, 24, 4 * 0.8, 8_000, slow);
+    LoadSimulation.Trouble slow = new LoadSimulation.Trouble(0.16, 0.2, 2_000, 6_000);
+    LoadSimulation load = LoadSimulation.play(1, 6, 44, 24, 4 * 0.8, 8_000, slow);
     assertTrue(load.orders() < 5_000, "orders " + load.orders());
     assertTrue(load.earnedShare() > 0.97, "earned " + load.earnedShare());
   }
@@ -57,9 +57,10 @@
   /** Workers at half speed used like others: 0.927 and 0.873 of the worth with these seeds. */
   @Test
   public void workersAtHalfSpeedGetWhatIsInTimeThere() {
-    PlayedLoad.Trouble halfSpeed = new PlayedLoad.Trouble(0.16, 0.5, 0, 10_000);
-    double usual = PlayedLoad.play(2, 3, 11, 11, 0.95, 8_000, halfSpeed).earnedShare();
-    double nearTheRoom = PlayedLoad.play(3, 6, 44, 24, 4 * 1.45, 8_000, halfSpeed).earnedShare();
+    LoadSimulation.Trouble halfSpeed = new LoadSimulation.Trouble(0.16, 0.5, 0, 10_000);
+    double usual = LoadSimulation.play(2, 3, 11, 11, 0.95, 8_000, halfSpeed).earnedShare();
+    double nearTheRoom =
+        LoadSimulation.play(3, 6, 44, 24, 4 * 1.45, 8_000, halfSpeed).earnedShare();
     assertTrue(usual > 0.95, "earned " + usual);
     assertTrue(nearTheRoom > 0.89, "earned " + nearTheRoom);
   }
@@ -71,11 +72,12 @@
    */
   @Test
   public void longTasksGoWhereTheyAreInTime() {
-    PlayedLoad.Unevenness uneven = new PlayedLoad.Unevenness(List.of(0.6, 1.0, 1.6), 0.03, 0.55);
+    LoadSimulation.Unevenness uneven =
+        new LoadSimulation.Unevenness(List.of(0.6, 1.0, 1.6), 0.03, 0.55);
     double ofLong = 0;
     double ofAll = 0;
     for (long seed = 1; seed <= 2; seed++) {
-      PlayedLoad load = PlayedLoad.playUneven(seed, 14, 76, 14, 1.2, uneven);
+      LoadSimulation load = LoadSimulation.playUneven(seed, 14, 76, 14, 1.2, uneven);
       ofLong += load.earnedShareOf(2) / 2;
       ofAll += load.earnedShare() / 2;
     }
@@ -93,7 +95,7 @@
     shares.addAll(Collections.nCopies(3, 0.34 / 3));
     double gap = 0;
     for (long seed = 1; seed <= 2; seed++) {
-      PlayedLoad load = PlayedLoad.playUnequalOwners(seed, shares, 76, 14, 1.2);
+      LoadSimulation load = LoadSimulation.playUnequalOwners(seed, shares, 76, 14, 1.2);
       gap += (load.inTimeShareOf(0, 11) - load.inTimeShareOf(11, 14)) / 2;
     }
     assertTrue(gap < 0.08, "busy owners earn less by " + gap);
@@ -105,15 +107,15 @@
    */
   @Test
   public void aReservationKeepsUrgentCallersServedWhileLongWorkPoursIn() {
-    PlayedLoad.Burst burst = new PlayedLoad.Burst(2, 2.1, 2_800, 8_600);
-    PlayedLoad.Trouble hung = new PlayedLoad.Trouble(0.23, 0, 2_000, 7_400);
-    PlayedLoad without = PlayedLoad.playReserved(1, 11, 63, 14, 1.1, burst, hung, 0);
-    PlayedLoad reserved = PlayedLoad.playReserved(1, 11, 63, 14, 1.1, burst, hung, 10);
+    LoadSimulation.Burst burst = new LoadSimulation.Burst(2, 2.1, 2_800, 8_600);
+    LoadSimulation.Trouble hung = new LoadSimulation.Trouble(0.23, 0, 2_000, 7_400);
+    LoadSimulation without = LoadSimulation.playReserved(1, 11, 63, 14, 1.1, burst, hung, 0);
+    LoadSimulation reserved = LoadSimulation.playReserved(1, 11, 63, 14, 1.1, burst, hung, 10);
     assertTrue(unservedOfUrgent(without) > 0.03, "without " + unservedOfUrgent(without));
     assertTrue(unservedOfUrgent(reserved) < 0.01, "reserved " + unservedOfUrgent(reserved));
   }
 
-  private static double unservedOfUrgent(PlayedLoad load) {
+  private static double unservedOfUrgent(LoadSimulation load) {
     return Math.max(load.servedOf(0).unservedShare(), load.servedOf(1).unservedShare());
   }
 }
--- a/core/src/test/java/io/hingehoist/run/OpenRunsTest.java
+++ b/core/src/test/java/io/hingehoist/run/OpenRunsTest.java
@@ -26,21 +26,21 @@
   public void aRunIsOpenFromItsOrderUntilItIsReportedOver() {
     OpenRuns runs = OpenRuns.create();
     assertTrue(runs.isEmpty());
-    runs.note(order(ONE, TWO));
-    runs.note(new RunEnded(ONE, RunEnd.DONE, 5));
+    runs.record(order(ONE, TWO));
+    runs.record(new RunEnded(ONE, RunEnd.DONE, 5));
     assertFalse(runs.isEmpty());
-    runs.note(new RunNotStarted(TWO, RunRefusal.ROOM));
+    runs.record(new RunNotStarted(TWO, RunRefusal.ROOM));
     assertTrue(runs.isEmpty());
   }
 
   @Test
   public void otherMessagesAndUnknownRunsChangeNothing() {
     OpenRuns runs = OpenRuns.create();
-    runs.note(new OwnerBeat(1, true));
-    runs.note(new RunEnded(ONE, RunEnd.LOST, 0));
+    runs.record(new OwnerBeat(1, true));
+    runs.record(new RunEnded(ONE, RunEnd.LOST, 0));
     assertTrue(runs.isEmpty());
-    runs.note(order(ONE));
-    runs.note(new RunEnded(new RunRef("j.0.0", 2), RunEnd.LOST, 0));
+    runs.record(order(ONE));
+    runs.record(new RunEnded(new RunRef("j.0.0", 2), RunEnd.LOST, 0));
     assertFalse(runs.isEmpty());
   }
 }
--- a/core/src/test/java/io/hingehoist/run/PlayedRuns.java
+++ b/core/src/test/java/io/hingehoist/run/RunSimulation.java
@@ -37,10 +37,10 @@
  * that are carried out late, played by a seed. After each step it checks that no worker is over its
  * room and that no task runs twice at the same time.
  */
-final class PlayedRuns {
+final class RunSimulation {
   static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
   private static final long STEP_MS = 5;
-  private static final long BEAT_MS = 150;
+  private static final long HEARTBEAT_PERIOD_MS = 150;
   private static final long RESUBMIT_MS = 1_300;
   private static final long LATE_LIMIT_MS = 12_000;
   private static final long LEAST_SLOW_MS = 20;
@@ -80,16 +80,17 @@
 
     void settle() {
       jobs.place(nowMs);
-      for (OwnerEffect effect : jobs.takeEffects()) {
+      for (OwnerEffect effect : jobs.drainEffects()) {
         switch (effect) {
-          case OwnerEffect.ToHost to -> {
+          case OwnerEffect.SendToHost to -> {
             Session session = sessions.get(to.hostId());
             if (session != null) {
               session.toHost(to.message());
             }
           }
-          case OwnerEffect.Answer answer -> answered(this, answer.jobId(), answer.end());
-          case OwnerEffect.Noted noted -> trace.add(nowMs + " " + id + " " + noted.decision());
+          case OwnerEffect.AnswerJob answer -> answered(this, answer.jobId(), answer.end());
+          case OwnerEffect.LogDecision noted ->
+              trace.add(nowMs + " " + id + " " + noted.decision());
         }
       }
     }
@@ -99,7 +100,7 @@
     final String id;
     final long bornMs;
     WorkerHost host;
-    StandInWorker worker;
+    FakeWorker worker;
     final Map<Long, Session> sessions = new HashMap<>();
     long standsUntilMs;
     long version;
@@ -113,7 +114,7 @@
     HostBox(String id) {
       this.id = id;
       this.bornMs = nowMs;
-      this.worker = new StandInWorker(id + "-w1", id + ":1");
+      this.worker = new FakeWorker(id + "-w1", id + ":1");
       restart();
     }
 
@@ -199,7 +200,7 @@
           a -> caller.holdAnswered(call.workerId(), a, nowMs));
     }
 
-    private StartAnswer start(StandInWorker target, HostEffect.CallStart call) {
+    private StartAnswer start(FakeWorker target, HostEffect.CallStart call) {
       if (nowMs < shedsUntilMs && slowness.nextBoolean()) {
         return new StartAnswer.Refused(RunRefusal.UNHEALTHY);
       }
@@ -209,13 +210,13 @@
     private <A> void callWorker(
         String workerId,
         HostEffect.Patience patience,
-        java.util.function.Function<StandInWorker, A> call,
+        java.util.function.Function<FakeWorker, A> call,
         A unanswered,
         A gone,
         A nobodyThere,
         java.util.function.Consumer<A> answer) {
       WorkerHost caller = host;
-      StandInWorker target = worker;
+      FakeWorker target = worker;
       if (!target.up) {
         reply(caller, 100, () -> answer.accept(dark ? unanswered : nobodyThere));
       } else if (nowMs < refusesUntilMs) {
@@ -242,9 +243,9 @@
 
     /** The call is carried out in any case, and answered if its host still waits by then. */
     private <A> void callSlowly(
-        StandInWorker target,
+        FakeWorker target,
         HostEffect.Patience patience,
-        java.util.function.Function<StandInWorker, A> call,
+        java.util.function.Function<FakeWorker, A> call,
         A unanswered,
         java.util.function.Consumer<A> answer) {
       WorkerHost caller = host;
@@ -323,8 +324,8 @@
         runsSinceMs = nowMs;
         carryToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
       }
-      openRuns.note(message);
-      ownerStream.noteSent(message);
+      openRuns.record(message);
+      ownerStream.recordSent(message);
       carryToHost(message);
     }
 
@@ -340,7 +341,7 @@
     }
 
     void toOwner(Message message) {
-      hostStream.noteSent(message);
+      hostStream.recordSent(message);
       carryToOwner(message);
     }
 
@@ -374,9 +375,9 @@
       if (!openAtHost || box.host != host || carrier != connection) {
         return;
       }
-      hostStream.noteReceived(message).ifPresent(this::carryToOwner);
+      hostStream.recordReceived(message).ifPresent(this::carryToOwner);
       switch (message) {
-        case SessionAck ack -> hostStream.acknowledged(ack.receivedCount());
+        case SessionAck ack -> hostStream.recordAcknowledged(ack.receivedCount());
         case OwnerBeat beat -> host.ownerBeat(id, beat.sentAtMs(), beat.follows(), nowMs);
         case OwnerWaiting news -> host.ownerWaiting(id, news, nowMs);
         case StartRuns order -> host.startRuns(id, order, nowMs);
@@ -392,15 +393,15 @@
         return;
       }
       heardByOwnerMs = nowMs;
-      openRuns.note(message);
-      ownerStream.noteReceived(message).ifPresent(this::carryToHost);
+      openRuns.record(message);
+      ownerStream.recordReceived(message).ifPresent(this::carryToHost);
       switch (message) {
-        case SessionAck ack -> ownerStream.acknowledged(ack.receivedCount());
+        case SessionAck ack -> ownerStream.recordAcknowledged(ack.receivedCount());
         case SessionOpened opened ->
             owner.jobs.sessionOpened(
                 box.id, opened.zone(), opened.hostIncarnation(), opened.formerRunsOver());
         case SessionProbe probe -> toHost(new SessionProof(probe.number(), nowMs));
-        case HostRows rows -> owner.jobs.hostRows(box.id, rows, nowMs);
+        case HostRows rows -> owner.jobs.hostRowsReceived(box.id, rows, nowMs);
         case RunEnded ended -> owner.jobs.runEnded(box.id, ended, nowMs);
         case WorkerCrashed news -> owner.jobs.workerCrashed(news, nowMs);
         case RunNotStarted report -> owner.jobs.runNotStarted(box.id, report, nowMs);
@@ -442,11 +443,11 @@
       silent = false;
       suspendedAtMs = 0;
       heardByOwnerMs = nowMs;
-      ownerStream.acknowledged(hostStream.receivedCount());
-      hostStream.acknowledged(ownerStream.receivedCount());
+      ownerStream.recordAcknowledged(hostStream.receivedCount());
+      hostStream.recordAcknowledged(ownerStream.receivedCount());
       carryToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
-      ownerStream.kept().forEach(this::carryToHost);
-      hostStream.kept().forEach(this::carryToOwner);
+      ownerStream.unacknowledged().forEach(this::carryToHost);
+      hostStream.unacknowledged().forEach(this::carryToOwner);
       owner.jobs.sessionResumed(box.id);
       owner.settle();
       host.sessionResumed(id, nowMs);
@@ -483,7 +484,9 @@
         }
       } else if (nowMs - silentSinceMs() >= sessionMs()) {
         loseAtOwner(true);
-      } else if (nowMs % (openRuns.isEmpty() ? RunTiming.IDLE_BEAT_MS : BEAT_MS) < 25) {
+      } else if (nowMs
+              % (openRuns.isEmpty() ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS : HEARTBEAT_PERIOD_MS)
+          < 25) {
         toHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
       }
     }
@@ -493,7 +496,7 @@
     }
 
     private long sessionMs() {
-      return openRuns.isEmpty() ? RunTiming.IDLE_SESSION_MS : TIMING.ownerLeaseMs();
+      return openRuns.isEmpty() ? RunTiming.IDLE_SESSION_TIMEOUT_MS : TIMING.ownerLeaseMs();
     }
 
     private void endAtHost() {
@@ -551,11 +554,11 @@
   long nowMs = 1;
 
   /** Creates a play whose connections break, but never fall silent while new ones work. */
-  PlayedRuns(long seed) {
+  RunSimulation(long seed) {
     this(seed, Set.of());
   }
 
-  PlayedRuns(long seed, Set<Trouble> troubles) {
+  RunSimulation(long seed, Set<Trouble> troubles) {
     this.random = new Random(seed);
     this.silences = new Random(~seed);
     this.slowness = new Random(31 * seed + 7);
@@ -746,7 +749,7 @@
     after(
         500 + random.nextInt(3_000),
         () -> {
-          box.worker = new StandInWorker(box.id + "-w" + nowMs, box.id + ":1");
+          box.worker = new FakeWorker(box.id + "-w" + nowMs, box.id + ":1");
         });
   }
 
@@ -754,7 +757,7 @@
   private void leave(OwnerBox owner) {
     for (CallersJob job : jobs.values()) {
       if (job.state.equals("open") && owners.get(job.ownerIndex) == owner && !owner.stands()) {
-        owner.jobs.abandon(job.plan.jobId(), "left");
+        owner.jobs.drop(job.plan.jobId(), "left");
         owner.settle();
         return;
       }
@@ -820,7 +823,7 @@
   private void check() {
     Map<String, String> running = new HashMap<>();
     for (HostBox box : boxes) {
-      if (!Rooms.fits(box.worker.used(), StandInWorker.CAPACITY)) {
+      if (!Rooms.fits(box.worker.used(), FakeWorker.CAPACITY)) {
         throw new AssertionError(nowMs + " " + box.id + " is over its room: " + box.worker.used());
       }
       for (RunRef run : box.worker.runs.keySet()) {
@@ -845,7 +848,7 @@
 
   private String traceOf(String task) {
     return String.join(
-        "\n", trace.stream().filter(line -> line.contains(TaskNames.jobOf(task))).toList());
+        "\n", trace.stream().filter(line -> line.contains(TaskNames.jobIdOf(task))).toList());
   }
 
   /** Returns the jobs that have no answer. */
--- a/core/src/test/java/io/hingehoist/run/PlayedRunsTest.java
+++ b/core/src/test/java/io/hingehoist/run/RunSimulationTest.java
@@ -3,14 +3,14 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import io.hingehoist.run.PlayedRuns.Trouble;
+import io.hingehoist.run.RunSimulation.Trouble;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
 import org.testng.annotations.Test;
 
 /** Many orders of failures, each by its seed. */
-public final class PlayedRunsTest {
+public final class RunSimulationTest {
   private static final int SEEDS = 120;
   private static final long WITH_FAULTS_MS = 20_000;
   private static final long CALM_MS = 25_000;
@@ -43,7 +43,7 @@
   private static void playAll(Set<Trouble> troubles) {
     boolean completed = false;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      PlayedRuns runs = new PlayedRuns(seed, troubles);
+      RunSimulation runs = new RunSimulation(seed, troubles);
       try {
         runs.play(WITH_FAULTS_MS, CALM_MS);
       } catch (AssertionError e) {
--- a/core/src/test/java/io/hingehoist/run/SessionStreamTest.java
+++ b/core/src/test/java/io/hingehoist/run/SessionStreamTest.java
@@ -20,21 +20,21 @@
   @Test
   public void whatTheOtherEndLacksIsKeptInOrder() {
     SessionStream sender = SessionStream.create();
-    sender.noteSent(FIRST);
-    sender.noteSent(BEAT);
-    sender.noteSent(SECOND);
-    assertEquals(sender.kept(), List.of(FIRST, SECOND));
-    sender.acknowledged(1);
-    assertEquals(sender.kept(), List.of(SECOND));
-    sender.acknowledged(1);
-    assertEquals(sender.kept(), List.of(SECOND));
+    sender.recordSent(FIRST);
+    sender.recordSent(BEAT);
+    sender.recordSent(SECOND);
+    assertEquals(sender.unacknowledged(), List.of(FIRST, SECOND));
+    sender.recordAcknowledged(1);
+    assertEquals(sender.unacknowledged(), List.of(SECOND));
+    sender.recordAcknowledged(1);
+    assertEquals(sender.unacknowledged(), List.of(SECOND));
   }
 
   @Test
   public void onlyWhatIsSaidOnceCounts() {
     SessionStream receiver = SessionStream.create();
-    receiver.noteReceived(FIRST);
-    receiver.noteReceived(BEAT);
+    receiver.recordReceived(FIRST);
+    receiver.recordReceived(BEAT);
     assertEquals(receiver.receivedCount(), 1);
   }
 
@@ -42,17 +42,17 @@
   public void anAcknowledgementIsDueFromTimeToTime() {
     SessionStream receiver = SessionStream.create();
     for (int i = 1; i < 32; i++) {
-      assertEquals(receiver.noteReceived(FIRST), Optional.empty());
+      assertEquals(receiver.recordReceived(FIRST), Optional.empty());
     }
-    assertEquals(receiver.noteReceived(FIRST), Optional.of(new SessionAck(32)));
-    assertEquals(receiver.noteReceived(FIRST), Optional.empty());
+    assertEquals(receiver.recordReceived(FIRST), Optional.of(new SessionAck(32)));
+    assertEquals(receiver.recordReceived(FIRST), Optional.empty());
   }
 
   @Test
   public void moreThanWasSentCannotHaveCome() {
     SessionStream sender = SessionStream.create();
-    sender.noteSent(FIRST);
-    assertFalse(sender.acknowledged(2));
-    assertEquals(sender.kept(), List.of(FIRST));
+    sender.recordSent(FIRST);
+    assertFalse(sender.recordAcknowledged(2));
+    assertEquals(sender.unacknowledged(), List.of(FIRST));
   }
 }
--- a/core/src/test/java/io/hingehoist/run/SessionSilenceTest.java
+++ b/core/src/test/java/io/hingehoist/run/SilenceTimeoutsTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-public final class SessionSilenceTest {
+public final class SilenceTimeoutsTest {
   private static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
 
   /**
@@ -14,24 +14,24 @@
    */
   @Test
   public void aSessionThatBeganAMomentAgoBearsLateHeartbeats() {
-    assertTrue(SessionSilence.ofOwnerMs(false, 500) > 500);
-    assertTrue(SessionSilence.ofHostMs(false, 500) > 500);
+    assertTrue(SilenceTimeouts.forOwnerMs(false, 500) > 500);
+    assertTrue(SilenceTimeouts.forHostMs(false, 500) > 500);
   }
 
   @Test
   public void evenThenALostConnectionIsNoticedWithinTheLease() {
-    assertTrue(SessionSilence.ofOwnerMs(false, 0) < TIMING.ownerLeaseMs());
+    assertTrue(SilenceTimeouts.forOwnerMs(false, 0) < TIMING.ownerLeaseMs());
   }
 
   @Test
   public void laterASilentConnectionIsNoticedSoon() {
-    assertEquals(SessionSilence.ofOwnerMs(false, 3_000), 300);
-    assertEquals(SessionSilence.ofHostMs(false, 3_000), 350);
+    assertEquals(SilenceTimeouts.forOwnerMs(false, 3_000), 300);
+    assertEquals(SilenceTimeouts.forHostMs(false, 3_000), 350);
   }
 
   @Test
   public void whereNothingRunsAHeartbeatIsDueEachSecond() {
-    assertEquals(SessionSilence.ofOwnerMs(true, 0), 1_300);
-    assertEquals(SessionSilence.ofHostMs(true, 9_000), 1_350);
+    assertEquals(SilenceTimeouts.forOwnerMs(true, 0), 1_300);
+    assertEquals(SilenceTimeouts.forHostMs(true, 9_000), 1_350);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/HostFixture.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostFixture.java
@@ -25,7 +25,7 @@
 
   /** Returns a host that started long ago, at a time; no zone is evacuated. */
   static HostFixture startedBefore(long nowMs) {
-    long startedAtMs = nowMs - TIMING.workerOverAfterMs();
+    long startedAtMs = nowMs - TIMING.workerRunsOverAfterMs();
     return new HostFixture(
         KnownZones.none(WorkerHost.create("h", 1, "z", TIMING, 100, startedAtMs)));
   }
--- a/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
@@ -85,7 +85,7 @@
     list(1_460);
     fixture.order(OTHER, WORKER, 1_460, LATER);
     long deadlineMs = fixture.all(HostEffect.CallStart.class).getFirst().deadlineMs();
-    long dueOverMs = 1_400 + HostFixture.TIMING.workerOverAfterMs();
+    long dueOverMs = 1_400 + HostFixture.TIMING.workerRunsOverAfterMs();
     assertTrue(overAtMs(deadlineMs, 1_460) <= dueOverMs, "deadline " + deadlineMs);
   }
 
@@ -147,7 +147,7 @@
     fixture.host.startAnswered(WORKER, LATER, new StartAnswer.Unanswered(), 1_300);
     beat(OTHER, 1_310);
     fixture.host.stopRun(OTHER, LATER, 1_310);
-    long firstIsVoidMs = 1_010 + HostFixture.TIMING.workerOverAfterMs();
+    long firstIsVoidMs = 1_010 + HostFixture.TIMING.workerRunsOverAfterMs();
     beat(OTHER, firstIsVoidMs);
     fixture.list(WORKER, firstIsVoidMs, List.of());
     fixture.host.onTick(firstIsVoidMs + 50);
@@ -163,7 +163,7 @@
     fixture.order(LOST, WORKER, 1_300, LATER);
     fixture.host.startAnswered(WORKER, LATER, new StartAnswer.Unanswered(), 1_330);
     loseOwner(1_340);
-    long leaseOverMs = 1_330 + HostFixture.TIMING.workerOverAfterMs();
+    long leaseOverMs = 1_330 + HostFixture.TIMING.workerRunsOverAfterMs();
     beat(OTHER, leaseOverMs);
     assertEquals(fixture.host.runCount(), 3);
     fixture.list(
--- a/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
@@ -18,7 +18,7 @@
   private static final String WORKER = "w1";
   private static final RunRef GOING_ON = new RunRef("j.0.0", 1);
   private static final RunRef ORDERED = new RunRef("j.0.1", 1);
-  private static final long LEASE_OVER_MS = 1_000 + HostFixture.TIMING.workerOverAfterMs();
+  private static final long LEASE_OVER_MS = 1_000 + HostFixture.TIMING.workerRunsOverAfterMs();
 
   private HostFixture fixture;
 
@@ -120,7 +120,7 @@
       tick(nowMs);
     }
     beat(1_900);
-    tick(1_110 + HostFixture.TIMING.workerOverAfterMs());
+    tick(1_110 + HostFixture.TIMING.workerRunsOverAfterMs());
     assertEquals(fixture.told(RunEnded.class).getFirst().end(), RunEnd.LOST);
     assertEquals(fixture.told(WorkerCrashed.class), List.of());
     assertEquals(fixture.host.workerCount(), 1);
--- a/core/src/test/java/io/hingehoist/run/host/RoomOffersTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RoomOffersTest.java
@@ -34,7 +34,7 @@
   public void fillAWorker() {
     host =
         KnownZones.none(
-            WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - TIMING.workerOverAfterMs()));
+            WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - TIMING.workerRunsOverAfterMs()));
     host.workerSeen(
         new WorkerInfo("w", "s", "10.0.0.1:1", "z", false, CAPACITY, List.of(), 1, 500_000), 1_000);
     host.sessionBegan(FIRST, "o1", 1_000);
--- a/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
@@ -25,7 +25,7 @@
 
 public final class WorkerHostTest {
   private static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
-  private static final long QUIET_MS = TIMING.workerOverAfterMs();
+  private static final long QUIET_MS = TIMING.workerRunsOverAfterMs();
   private static final Room CAPACITY = new Room(2_000, 1_000, 0);
   private static final Room NEED = new Room(1_000, 10, 0);
   private static final long SESSION = 7;
@@ -617,8 +617,8 @@
   public void aSessionWithoutRunsOutlivesItsLeaseAndTakesItUpAgain() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerBeat(SESSION, 1_000, true, 1_000);
-    host.onTick(1_000 + RunTiming.IDLE_SESSION_MS - 1);
-    settle(host, 1_000 + RunTiming.IDLE_SESSION_MS - 1);
+    host.onTick(1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS - 1);
+    settle(host, 1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS - 1);
     assertEquals(all(HostEffect.CloseSession.class), List.of());
     host.ownerBeat(SESSION, 3_000, true, 3_000);
     order(host, 3_001, run(0, 1));
@@ -637,8 +637,8 @@
   public void aSessionWithoutRunsIsOverOnceHeartbeatsAreMissing() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerBeat(SESSION, 1_000, true, 1_000);
-    host.onTick(1_000 + RunTiming.IDLE_SESSION_MS);
-    settle(host, 1_000 + RunTiming.IDLE_SESSION_MS);
+    host.onTick(1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS);
+    settle(host, 1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS);
     assertEquals(all(HostEffect.CloseSession.class).size(), 1);
   }
 
--- a/core/src/test/java/io/hingehoist/run/load/FollowedCountTest.java
+++ b/core/src/test/java/io/hingehoist/run/load/FollowedHostCountTest.java
@@ -5,14 +5,14 @@
 
 import org.testng.annotations.Test;
 
-public final class FollowedCountTest {
+public final class FollowedHostCountTest {
   private static final int USUAL = 14;
   private static final int ONE_SECOND = 20;
 
-  private static FollowedCount after(double takenHosts, int looks) {
-    FollowedCount count = FollowedCount.of(USUAL);
+  private static FollowedHostCount after(double takenHosts, int looks) {
+    FollowedHostCount count = FollowedHostCount.of(USUAL);
     for (int i = 0; i < looks; i++) {
-      count.look(takenHosts);
+      count.sample(takenHosts);
     }
     return count;
   }
@@ -31,27 +31,27 @@
 
   @Test
   public void itReturnsToTheUsualNumberOnceItsLoadIsOver() {
-    FollowedCount count = after(9.3, 3 * ONE_SECOND);
+    FollowedHostCount count = after(9.3, 3 * ONE_SECOND);
     for (int i = 0; i < 2 * ONE_SECOND; i++) {
-      count.look(1);
+      count.sample(1);
     }
     assertEquals(count.count(), USUAL);
   }
 
   @Test
   public void aSmallChangeIsNotToldToHosts() {
-    FollowedCount count = after(9.3, 10 * ONE_SECOND);
+    FollowedHostCount count = after(9.3, 10 * ONE_SECOND);
     int before = count.count();
     for (int i = 0; i < ONE_SECOND; i++) {
-      count.look(i % 2 == 0 ? 9.5 : 9.1);
+      count.sample(i % 2 == 0 ? 9.5 : 9.1);
     }
     assertEquals(count.count(), before);
   }
 
   @Test
   public void anOwnerThatFollowsAllHostsGoesOnDoingSo() {
-    FollowedCount count = FollowedCount.of(Integer.MAX_VALUE);
-    count.look(200);
+    FollowedHostCount count = FollowedHostCount.of(Integer.MAX_VALUE);
+    count.sample(200);
     assertEquals(count.count(), Integer.MAX_VALUE);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/load/ReservationTest.java
+++ b/core/src/test/java/io/hingehoist/run/load/UrgentReservationTest.java
@@ -6,16 +6,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public final class ReservationTest {
+public final class UrgentReservationTest {
   private static final int URGENT = 0;
   private static final int MIDDLE = 1;
   private static final int LAST = 2;
 
-  private Reservation reservation;
+  private UrgentReservation reservation;
 
   @BeforeMethod
   public void urgentWorkCame() {
-    reservation = Reservation.ofPercent(10);
+    reservation = UrgentReservation.ofPercent(10);
     reservation.noteArrival(URGENT, 86, 1_000);
     reservation.noteArrival(MIDDLE, 286, 1_000);
     reservation.noteArrival(LAST, 1_286, 1_000);
@@ -53,7 +53,7 @@
 
   @Test
   public void withoutTheSettingNothingIsKept() {
-    Reservation none = Reservation.ofPercent(0);
+    UrgentReservation none = UrgentReservation.ofPercent(0);
     none.noteArrival(URGENT, 86, 1_000);
     none.noteArrival(LAST, 1_286, 1_000);
     assertTrue(none.isNone());
--- a/core/src/test/java/io/hingehoist/run/owner/CrashingTasksTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/CrashingTasksTest.java
@@ -52,7 +52,7 @@
   private void show(String host, long nowMs) {
     WorkerRow row =
         new WorkerRow(host + "-w", "s", "z", List.of(), CAPACITY, CAPACITY, WorkerState.READY, 0);
-    owner.hostRows(host, new HostRows(100, List.of(row)), nowMs);
+    owner.hostRowsReceived(host, new HostRows(100, List.of(row)), nowMs);
   }
 
   private void submit(String id, int tasks, long nowMs) {
@@ -64,9 +64,9 @@
   private void settle(long nowMs) {
     owner.place(nowMs);
     effects.clear();
-    effects.addAll(owner.takeEffects());
+    effects.addAll(owner.drainEffects());
     for (OwnerEffect effect : effects) {
-      if (effect instanceof OwnerEffect.ToHost to && to.message() instanceof StartRuns order) {
+      if (effect instanceof OwnerEffect.SendToHost to && to.message() instanceof StartRuns order) {
         for (RunRef run : order.runs()) {
           hostsOfTasks.put(run.task(), to.hostId());
           runs.put(run.task(), run);
@@ -98,8 +98,8 @@
 
   private List<JobEnd> ends() {
     return effects.stream()
-        .filter(OwnerEffect.Answer.class::isInstance)
-        .map(effect -> ((OwnerEffect.Answer) effect).end())
+        .filter(OwnerEffect.AnswerJob.class::isInstance)
+        .map(effect -> ((OwnerEffect.AnswerJob) effect).end())
         .toList();
   }
 
--- a/core/src/test/java/io/hingehoist/run/owner/JobOwnerTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/JobOwnerTest.java
@@ -56,20 +56,20 @@
   }
 
   private void show(JobOwner owner, String host, Room free, long lastOrder) {
-    owner.hostRows(
+    owner.hostRowsReceived(
         host, new HostRows(lastOrder, List.of(row(host + "-w", free, WorkerState.READY))), 0);
   }
 
   private void settle(JobOwner owner, long nowMs) {
     owner.place(nowMs);
     effects.clear();
-    effects.addAll(owner.takeEffects());
+    effects.addAll(owner.drainEffects());
   }
 
   private List<RunRef> started() {
     List<RunRef> runs = new ArrayList<>();
     for (OwnerEffect effect : effects) {
-      if (effect instanceof OwnerEffect.ToHost to && to.message() instanceof StartRuns order) {
+      if (effect instanceof OwnerEffect.SendToHost to && to.message() instanceof StartRuns order) {
         runs.addAll(order.runs());
       }
     }
@@ -79,7 +79,7 @@
   private List<JobEnd> answers() {
     List<JobEnd> ends = new ArrayList<>();
     for (OwnerEffect effect : effects) {
-      if (effect instanceof OwnerEffect.Answer answer) {
+      if (effect instanceof OwnerEffect.AnswerJob answer) {
         ends.add(answer.end());
       }
     }
@@ -88,7 +88,7 @@
 
   private long stops() {
     return effects.stream()
-        .filter(e -> e instanceof OwnerEffect.ToHost to && to.message() instanceof StopRun)
+        .filter(e -> e instanceof OwnerEffect.SendToHost to && to.message() instanceof StopRun)
         .count();
   }
 
@@ -168,8 +168,9 @@
     JobOwner owner = ownerWith("h1", "h2");
     owner.submit(plan("j", 0, 1, step(1)), 0);
     settle(owner, 0);
-    String host = ((OwnerEffect.ToHost) effects.get(effects.size() - 1)).hostId();
-    owner.hostRows(host, new HostRows(1, List.of(row(host + "-w", SMALL, WorkerState.FAILING))), 0);
+    String host = ((OwnerEffect.SendToHost) effects.get(effects.size() - 1)).hostId();
+    owner.hostRowsReceived(
+        host, new HostRows(1, List.of(row(host + "-w", SMALL, WorkerState.FAILING))), 0);
     owner.runEnded(host, new RunEnded(new RunRef("j.0.0", 1), RunEnd.FAILED, 10), 10);
     settle(owner, 10);
     assertEquals(answers(), List.of());
@@ -195,11 +196,11 @@
     owner.sessionLost("h1", true, 100);
     owner.sessionOpened("h2", "z", 1, true);
     show(owner, "h2", SMALL, 0);
-    owner.onTick(100 + TIMING.overAfterSilenceMs() - 1);
-    settle(owner, 100 + TIMING.overAfterSilenceMs() - 1);
+    owner.onTick(100 + TIMING.runsOverAfterSilenceMs() - 1);
+    settle(owner, 100 + TIMING.runsOverAfterSilenceMs() - 1);
     assertEquals(started(), List.of());
-    owner.onTick(100 + TIMING.overAfterSilenceMs());
-    settle(owner, 100 + TIMING.overAfterSilenceMs());
+    owner.onTick(100 + TIMING.runsOverAfterSilenceMs());
+    settle(owner, 100 + TIMING.runsOverAfterSilenceMs());
     assertEquals(started(), List.of(new RunRef("j.0.0", 2)));
   }
 
@@ -220,7 +221,7 @@
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(2)), 0);
     settle(owner, 0);
-    owner.abandon("j", "caller left");
+    owner.drop("j", "caller left");
     settle(owner, 10);
     assertEquals(stops(), 2);
     assertTrue(answers().getFirst() instanceof JobEnd.Dropped);
@@ -324,7 +325,8 @@
   private List<OwnerWaiting> waitingTold() {
     List<OwnerWaiting> told = new ArrayList<>();
     for (OwnerEffect effect : effects) {
-      if (effect instanceof OwnerEffect.ToHost to && to.message() instanceof OwnerWaiting news) {
+      if (effect instanceof OwnerEffect.SendToHost to
+          && to.message() instanceof OwnerWaiting news) {
         told.add(news);
       }
     }
@@ -369,7 +371,7 @@
   }
 
   private void showState(JobOwner owner, String host, WorkerState state, long nowMs) {
-    owner.hostRows(host, new HostRows(1, List.of(row(host + "-w", SMALL, state))), nowMs);
+    owner.hostRowsReceived(host, new HostRows(1, List.of(row(host + "-w", SMALL, state))), nowMs);
   }
 
   /** Returns an owner of one job with a run at the first of three hosts. */
@@ -402,7 +404,7 @@
         effects.stream()
             .noneMatch(
                 e ->
-                    e instanceof OwnerEffect.ToHost to
+                    e instanceof OwnerEffect.SendToHost to
                         && to.hostId().equals("h1")
                         && to.message() instanceof StartRuns));
   }
@@ -509,7 +511,7 @@
         effects.stream()
             .anyMatch(
                 effect ->
-                    effect instanceof OwnerEffect.Answer answer
+                    effect instanceof OwnerEffect.AnswerJob answer
                         && answer.end() instanceof JobEnd.Refused));
   }
 
--- a/core/src/test/java/io/hingehoist/run/owner/PlacementPassTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/PlacementPassTest.java
@@ -71,8 +71,8 @@
     return new OwnedJob(plan, 0, 1).tasksOf(0).getFirst();
   }
 
-  private static StepPlan step(Room need, String requires, int mostPerWorker) {
-    return new StepPlan(1, need, 100, List.of(), requires, "", mostPerWorker);
+  private static StepPlan step(Room need, String requires, int maxTasksPerWorker) {
+    return new StepPlan(1, need, 100, List.of(), requires, "", maxTasksPerWorker);
   }
 
   @Test
--- a/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
+++ b/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
@@ -14,9 +14,9 @@
 import io.hingehoist.net.PeerHandler;
 import io.hingehoist.net.PeerLink;
 import io.hingehoist.net.SilenceWatch;
-import io.hingehoist.run.SentRows;
-import io.hingehoist.run.SessionSilence;
+import io.hingehoist.run.HostRowsEncoder;
 import io.hingehoist.run.SessionStream;
+import io.hingehoist.run.SilenceTimeouts;
 import io.hingehoist.wire.FrameConnection;
 import java.util.HashMap;
 import java.util.List;
@@ -32,7 +32,7 @@
  */
 final class OwnerLinks implements AutoCloseable {
   /** Until a session has begun: as for one whose owner has runs here. */
-  private static final long SILENT_AFTER_MS = SessionSilence.ofOwnerMs(false, Long.MAX_VALUE);
+  private static final long SILENT_AFTER_MS = SilenceTimeouts.forOwnerMs(false, Long.MAX_VALUE);
 
   /** Takes what happens on sessions, on the event loop. */
   interface Listener {
@@ -62,7 +62,7 @@
     private final SessionStream stream = SessionStream.create();
     private final long beganAtMs;
     private Optional<PeerChannel> channel;
-    private SentRows rows = SentRows.create();
+    private HostRowsEncoder rows = HostRowsEncoder.create();
     private long beatAtMs;
 
     private Session(PeerChannel channel, long nowMs) {
@@ -135,7 +135,7 @@
 
   private long silentAfterMs(Session session, long nowMs) {
     boolean idle = !listener.hasRuns(session.id);
-    return SessionSilence.ofOwnerMs(idle, nowMs - session.beganAtMs);
+    return SilenceTimeouts.forOwnerMs(idle, nowMs - session.beganAtMs);
   }
 
   private void replaceIfSilent(String owner, Session session) {
@@ -152,7 +152,7 @@
     find(sessionId)
         .ifPresent(
             session -> {
-              session.stream.noteSent(message);
+              session.stream.recordSent(message);
               session.channel.ifPresent(channel -> channel.send(shortest(session, message)));
             });
   }
@@ -182,7 +182,7 @@
   }
 
   private static Message shortest(Session session, Message message) {
-    return message instanceof HostRows rows ? session.rows.toSend(rows) : message;
+    return message instanceof HostRows rows ? session.rows.encode(rows) : message;
   }
 
   private Optional<Session> find(long sessionId) {
@@ -247,7 +247,7 @@
 
     private void receive(Session session, PeerChannel channel, Message message) {
       if (session.isOn(channel)) {
-        session.stream.noteReceived(message).ifPresent(channel::send);
+        session.stream.recordReceived(message).ifPresent(channel::send);
         if (message instanceof OwnerBeat) {
           session.beatAtMs = EventLoop.nowMs();
         }
@@ -256,7 +256,7 @@
     }
 
     private void take(Session session, PeerChannel channel, SessionAck ack) {
-      if (!session.stream.acknowledged(ack.receivedCount())) {
+      if (!session.stream.recordAcknowledged(ack.receivedCount())) {
         refuse(channel);
       }
     }
@@ -269,14 +269,14 @@
 
     private void resume(Session session, PeerChannel channel, SessionResumed resumed) {
       boolean same = resumed.sessionId() == session.id;
-      if (!same || !session.stream.acknowledged(resumed.receivedCount())) {
+      if (!same || !session.stream.recordAcknowledged(resumed.receivedCount())) {
         refuse(channel);
         return;
       }
       session.channel = Optional.of(channel);
       session.beatAtMs = EventLoop.nowMs();
-      session.rows = SentRows.create();
-      session.stream.kept().forEach(channel::send);
+      session.rows = HostRowsEncoder.create();
+      session.stream.unacknowledged().forEach(channel::send);
       listener.onResumed(session.id);
     }
 
--- a/daemon/src/main/java/io/hingehoist/net/ZoneGauges.java
+++ b/daemon/src/main/java/io/hingehoist/net/ZoneGauges.java
@@ -1,14 +1,14 @@
 package io.hingehoist.net;
 
 import io.hingehoist.metrics.Metrics;
-import io.hingehoist.run.ZoneKnowledge;
+import io.hingehoist.run.EvacuatedZonesView;
 
 /** Static helpers that show what a process knows of evacuated availability zones. */
 public final class ZoneGauges {
   private ZoneGauges() {}
 
   /** Adds the gauges of a process; they are read on the event loop. */
-  public static void add(Metrics metrics, ZoneKnowledge zones) {
+  public static void add(Metrics metrics, EvacuatedZonesView zones) {
     metrics.addGauge(
         "hingehoist_evacuated_zones",
         "Availability zones that this process knows to be evacuated.",
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -21,11 +21,11 @@
 import io.hingehoist.net.PeerLink;
 import io.hingehoist.net.PeerServer;
 import io.hingehoist.net.SilenceWatch;
+import io.hingehoist.run.HostRowsDecoder;
 import io.hingehoist.run.OpenRuns;
-import io.hingehoist.run.ReceivedRows;
 import io.hingehoist.run.RunTiming;
-import io.hingehoist.run.SessionSilence;
 import io.hingehoist.run.SessionStream;
+import io.hingehoist.run.SilenceTimeouts;
 import io.hingehoist.wire.FrameConnection;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -91,7 +91,7 @@
     private final OpenRuns openRuns = OpenRuns.create();
     private final long beganAtMs = EventLoop.nowMs();
     private Optional<PeerChannel> channel;
-    private ReceivedRows rows = ReceivedRows.create();
+    private HostRowsDecoder rows = HostRowsDecoder.create();
     private long suspendedAtMs;
     private long beatAtMs;
 
@@ -116,7 +116,7 @@
     }
 
     private long silentAfterMs(long nowMs) {
-      return SessionSilence.ofHostMs(isIdle(), nowMs - beganAtMs);
+      return SilenceTimeouts.forHostMs(isIdle(), nowMs - beganAtMs);
     }
 
     /** A host that had little to say is not silent yet when the first run is ordered there. */
@@ -160,8 +160,8 @@
     if (message instanceof StartRuns && session.isIdle()) {
       takeUpLease(hostId, session);
     }
-    session.stream.noteSent(message);
-    session.openRuns.note(message);
+    session.stream.recordSent(message);
+    session.openRuns.record(message);
     session.channel.ifPresent(channel -> channel.send(message));
   }
 
@@ -188,7 +188,8 @@
   }
 
   private void beatIfDue(String hostId, Session session, long nowMs) {
-    long periodMs = session.isIdle() ? RunTiming.IDLE_BEAT_MS : RunTiming.BEAT_MS;
+    long periodMs =
+        session.isIdle() ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS : RunTiming.HEARTBEAT_PERIOD_MS;
     if (nowMs - session.beatAtMs >= periodMs) {
       session.channel.ifPresent(channel -> beat(hostId, session, channel));
     }
@@ -207,7 +208,7 @@
       return;
     }
     long sinceMs = session.silentSinceMs(session.channel.get());
-    if (watch.isSilent(sinceMs, session.isIdle() ? RunTiming.IDLE_SESSION_MS : silenceMs)) {
+    if (watch.isSilent(sinceMs, session.isIdle() ? RunTiming.IDLE_SESSION_TIMEOUT_MS : silenceMs)) {
       lose(hostId, true, nowMs);
     } else if (!session.unheard && watch.isSilent(sinceMs, session.silentAfterMs(nowMs))) {
       session.unheard = true;
@@ -309,8 +310,8 @@
     private void receive(Hello host, PeerChannel channel, Message message) {
       Session session = sessions.get(host.nodeId());
       if (session != null && session.isOn(channel)) {
-        session.stream.noteReceived(message).ifPresent(channel::send);
-        session.openRuns.note(message);
+        session.stream.recordReceived(message).ifPresent(channel::send);
+        session.openRuns.record(message);
         noteHeard(host.nodeId(), session);
         receive(host.nodeId(), session, message);
         return;
@@ -348,7 +349,7 @@
       lose(host.nodeId(), false, nowMs);
       Session session = new Session(opened.sessionId(), host.incarnation(), channel);
       sessions.put(host.nodeId(), session);
-      session.stream.noteReceived(opened);
+      session.stream.recordReceived(opened);
       // Whether this host will be followed is known only once it has said more of itself.
       session.beatAtMs = nowMs;
       channel.send(new OwnerBeat(nowMs, true));
@@ -361,7 +362,7 @@
           session != null
               && session.id == resumed.sessionId()
               && session.hostIncarnation == host.incarnation()
-              && session.stream.acknowledged(resumed.receivedCount());
+              && session.stream.recordAcknowledged(resumed.receivedCount());
       if (!known) {
         channel.send(new SessionUnknown(resumed.sessionId()));
         return;
@@ -370,12 +371,12 @@
         suspend(host.nodeId(), session);
       }
       session.channel = Optional.of(channel);
-      session.rows = ReceivedRows.create();
+      session.rows = HostRowsDecoder.create();
       channel.send(new SessionResumed(session.id, session.stream.receivedCount()));
       beat(host.nodeId(), session, channel);
-      session.stream.kept().forEach(channel::send);
+      session.stream.unacknowledged().forEach(channel::send);
       long suspendedForMs = EventLoop.nowMs() - session.suspendedAtMs;
-      listener.onResumed(host.nodeId(), suspendedForMs, session.stream.keptCount());
+      listener.onResumed(host.nodeId(), suspendedForMs, session.stream.unacknowledgedCount());
     }
 
     private void receive(String host, Session session, Message message) {
@@ -386,7 +387,7 @@
         case SessionProbe probe ->
             session.channel.ifPresent(open -> listener.onProbe(probe.number(), open::send));
         case HostRows rows -> {
-          session.rows.take(rows);
+          session.rows.recordFull(rows);
           listener.onMessage(host, rows);
         }
         case HostRooms rooms -> receive(host, session, rooms);
@@ -395,14 +396,14 @@
     }
 
     private void take(Session session, SessionAck ack) {
-      if (!session.stream.acknowledged(ack.receivedCount())) {
+      if (!session.stream.recordAcknowledged(ack.receivedCount())) {
         metrics.noteBadFrame();
         session.channel.ifPresent(PeerChannel::close);
       }
     }
 
     private void receive(String host, Session session, HostRooms rooms) {
-      Optional<HostRows> rows = session.rows.expand(rooms);
+      Optional<HostRows> rows = session.rows.decode(rooms);
       if (rows.isPresent()) {
         listener.onMessage(host, rows.get());
       } else {
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -29,14 +29,14 @@
 import io.hingehoist.net.ZoneGauges;
 import io.hingehoist.quorum.ControlAddresses;
 import io.hingehoist.route.RouteTable;
+import io.hingehoist.run.EvacuatedZonesView;
 import io.hingehoist.run.JobEnd;
 import io.hingehoist.run.JobPlan;
 import io.hingehoist.run.RunTiming;
-import io.hingehoist.run.ZoneKnowledge;
-import io.hingehoist.run.load.Reservation;
+import io.hingehoist.run.load.UrgentReservation;
 import io.hingehoist.run.owner.JobOwner;
 import io.hingehoist.run.owner.OwnerEffect;
-import io.hingehoist.run.owner.SleepDoubt;
+import io.hingehoist.run.owner.SleepCheck;
 import io.hingehoist.settings.NodeSection;
 import io.hingehoist.settings.OwnerSection;
 import io.hingehoist.wire.Addresses;
@@ -79,10 +79,10 @@
   private final ControlLinks controls;
   private final HostSessions hosts;
   private final HttpServer front;
-  private final ZoneKnowledge zones = ZoneKnowledge.create();
+  private final EvacuatedZonesView zones = EvacuatedZonesView.create();
   private final RouteFollower routes;
   private final SleepWatch sleepWatch = SleepWatch.create();
-  private final SleepDoubt doubt = SleepDoubt.create();
+  private final SleepCheck doubt = SleepCheck.create();
   private long doubtedSleepMs;
   private long tickedAtMs;
 
@@ -110,7 +110,7 @@
             node.nodeId(),
             node.zone(),
             settings.followedHosts(),
-            Reservation.ofPercent(settings.reservedForUrgentPercent()));
+            UrgentReservation.ofPercent(settings.reservedForUrgentPercent()));
     Peer self =
         new Peer(
             node.nodeId(),
@@ -153,7 +153,7 @@
     owner.loop.start(() -> owner.controls.open(ControlAddresses.of(node)));
     metrics.addGauge("hingehoist_owner_jobs", "Jobs without an answer.", owner.jobs::jobCount);
     metrics.addGauge(
-        "hingehoist_owner_queued_tasks", "Tasks that wait for room.", owner.jobs::queuedCount);
+        "hingehoist_owner_queued_tasks", "Tasks that wait for room.", owner.jobs::waitingTaskCount);
     ZoneGauges.add(metrics, owner.zones);
     metrics.addGauge(
         "hingehoist_log_lines_dropped", "Log lines dropped under load.", log::droppedCount);
@@ -205,7 +205,7 @@
     long sleptMs = sleepWatch.sleptMs();
     if (sleptMs >= timing.ownerLeaseMs() && jobs.jobCount() > 0) {
       doubtedSleepMs = sleptMs;
-      int asked = hosts.sendWhereRunsAre(new SessionProbe(doubt.nextNumber()));
+      int asked = hosts.sendWhereRunsAre(new SessionProbe(doubt.nextProbeNumber()));
       doubt.begin(asked, EventLoop.nowMs());
       log.write("mayHaveSlept", node.nodeId(), "ms=" + sleptMs + " hostsAsked=" + asked);
     }
@@ -238,19 +238,19 @@
   @Override
   public void settle(long nowMs) {
     checkSleep();
-    if (doubt.isOpen()) {
+    if (doubt.isPending()) {
       return;
     }
     jobs.place(nowMs);
     // An answer may free a caller's connection for its next job, which settles by itself.
-    jobs.takeEffects().forEach(this::carryOut);
+    jobs.drainEffects().forEach(this::carryOut);
   }
 
   private void carryOut(OwnerEffect effect) {
     switch (effect) {
-      case OwnerEffect.ToHost to -> hosts.send(to.hostId(), to.message());
-      case OwnerEffect.Noted noted -> log.write(noted.decision());
-      case OwnerEffect.Answer answer -> answer(answer.jobId(), answer.end());
+      case OwnerEffect.SendToHost to -> hosts.send(to.hostId(), to.message());
+      case OwnerEffect.LogDecision noted -> log.write(noted.decision());
+      case OwnerEffect.AnswerJob answer -> answer(answer.jobId(), answer.end());
     }
   }
 
@@ -294,7 +294,7 @@
   @Override
   public void leave(String jobId, Waiter waiter) {
     if (waiters.remove(jobId, waiter)) {
-      jobs.abandon(jobId, "caller left");
+      jobs.drop(jobId, "caller left");
       loop.settleLater();
     }
   }
@@ -313,7 +313,7 @@
 
   @Override
   public long pendingCount(String queue) {
-    return jobs.pendingCount(queue);
+    return jobs.unstartedJobCount(queue);
   }
 
   // What control replicas and hosts say.
@@ -323,7 +323,7 @@
    * refuses, also where it reaches no control replica itself.
    */
   private void learnZones(EvacuatedZones heard, String source) {
-    if (zones.learn(heard, EventLoop.nowMs())) {
+    if (zones.update(heard, EventLoop.nowMs())) {
       String outcome = "version=%d evacuated=%s".formatted(heard.version(), heard.zones());
       log.write("zonesInForce", source, outcome);
       hosts.sendToAll(heard);
@@ -374,13 +374,13 @@
     public void onMessage(String hostId, Message message) {
       long now = EventLoop.nowMs();
       switch (message) {
-        case HostRows rows -> jobs.hostRows(hostId, rows, now);
+        case HostRows rows -> jobs.hostRowsReceived(hostId, rows, now);
         case RunEnded ended -> {
           metrics.noteTask(ended.end().name());
           jobs.runEnded(hostId, ended, now);
         }
         case WorkerCrashed news -> jobs.workerCrashed(news, now);
-        case SessionProof proof -> doubt.proven(proof.number());
+        case SessionProof proof -> doubt.proofReceived(proof.number());
         case RunNotStarted report -> jobs.runNotStarted(hostId, report, now);
         case EvacuatedZones heard -> learnZones(heard, hostId);
         default -> metrics.noteBadFrame();
@@ -423,7 +423,7 @@
     @Override
     public void onProbe(long number, Consumer<Message> answers) {
       checkSleep();
-      if (!doubt.isOpen()) {
+      if (!doubt.isPending()) {
         answers.accept(new SessionProof(number, EventLoop.nowMs()));
       }
     }
