--- a/benchmark/src/main/java/io/hingehoist/microbench/DecisionBenchmark.java
+++ b/benchmark/src/main/java/io/hingehoist/microbench/DecisionBenchmark.java
@@ -65,9 +65,9 @@
       AgentInfo info =
           new AgentInfo("w" + i, 1, "127.0.0.1:1", "z", "porting", 8, 64, MemberState.LIVE);
       Worker<Object> worker = Worker.create(info);
-      worker.connected(1, false, random.nextInt(5), NOW_MS);
+      worker.onStatus(1, false, random.nextInt(5), NOW_MS);
       for (int task = random.nextInt(3); task > 0; task--) {
-        worker.sent(new Object(), NOW_MS);
+        worker.recordSent(new Object(), NOW_MS);
       }
       candidates.add(worker);
     }
--- a/core/src/main/java/io/hingehoist/dispatch/DispatchEffect.java
+++ b/core/src/main/java/io/hingehoist/dispatch/DispatchEffect.java
@@ -10,7 +10,7 @@
   record Send(String agentId, Message message) implements DispatchEffect {}
 
   /** Commits the outcome of a job. */
-  record Commit(long jobId, long epoch, JobOutcome outcome) implements DispatchEffect {}
+  record CommitOutcome(long jobId, long epoch, JobOutcome outcome) implements DispatchEffect {}
 
   /** Says that a request has ended. */
   record EndRequest(long requestId, RequestOutcome outcome) implements DispatchEffect {}
--- a/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
+++ b/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
@@ -13,7 +13,7 @@
 import io.hingehoist.message.TaskFinished;
 import io.hingehoist.message.TaskNotStarted;
 import io.hingehoist.message.TaskRunning;
-import io.hingehoist.placement.SlowWorkers;
+import io.hingehoist.placement.SlowWorkerEjection;
 import io.hingehoist.placement.Worker;
 import io.hingehoist.settings.ServicePolicy;
 import io.hingehoist.settings.SettingsPath;
@@ -88,7 +88,7 @@
         subscribe(worker);
       }
     }
-    return takeEffects();
+    return drainEffects();
   }
 
   /** Takes a lease: until then work may start; jobs admitted before the floor are forgotten. */
@@ -169,7 +169,7 @@
       return List.of();
     }
     boolean wasReachable = worker.isReachable() && !opens;
-    worker.connected(status.incarnation(), status.draining(), status.busyForOthers(), nowMs);
+    worker.onStatus(status.incarnation(), status.draining(), status.busyForOthers(), nowMs);
     if (worker.isReachable()) {
       becomeReachable(worker, wasReachable);
     }
@@ -182,7 +182,7 @@
     if (worker == null) {
       return List.of();
     }
-    worker.disconnected();
+    worker.onDisconnected();
     List<Work> lost = worker.inFlight();
     for (Work work : lost) {
       if (work instanceof RequestWork) {
@@ -230,13 +230,13 @@
   }
 
   private static void noteAnswer(Worker<Work> worker, int busy, int credits, long nowMs) {
-    worker.noteBusyForOthers(busy, nowMs);
+    worker.recordBusyForOthers(busy, nowMs);
     worker.addCredits(credits);
   }
 
   private void noteReason(Worker<Work> worker, NotStartedReason reason, long nowMs) {
     switch (reason) {
-      case DRAINING, NO_LEASE, WRONG_INCARNATION -> worker.noteRefusal();
+      case DRAINING, NO_LEASE, WRONG_INCARNATION -> worker.recordRefusal();
       case BACKEND_UNREACHABLE -> worker.eject(nowMs + UNREACHABLE_PAUSE_MS);
       case SLOTS_FULL -> pool(worker.info().service()).backoff().noteRefusal(nowMs);
       case STALE_EPOCH, REVOKED, RETIRED -> {}
@@ -283,20 +283,20 @@
   /** Notes that a job's outcome is committed. */
   public List<DispatchEffect> onOutcomeCommitted(long jobId) {
     jobs.onCommitted(jobId);
-    return takeEffects();
+    return drainEffects();
   }
 
   /** Notes that another entry owns a job now. */
   public List<DispatchEffect> onOutcomeStale(long jobId) {
     jobs.onStale(jobId);
-    return takeEffects();
+    return drainEffects();
   }
 
   /** Leaves every job to others, because this entry's incarnation has ended. */
   public List<DispatchEffect> onIncarnationEnded() {
     leaseUntilMs = Long.MIN_VALUE;
     jobs.abandonAll();
-    return takeEffects();
+    return drainEffects();
   }
 
   /** Gives up what is past its deadline and does what is due. */
@@ -334,7 +334,7 @@
     pools.forEach(
         (service, pool) -> {
           ServicePolicy policy = policyAt(servicePath(service));
-          SlowWorkers.eject(
+          SlowWorkerEjection.eject(
               pool.workers().values(), policy.ejectionFactor(), policy.ejectionMaxPercent(), nowMs);
         });
   }
@@ -384,7 +384,7 @@
 
   void noteEnded(String agentId, Work work) {
     Worker<Work> worker = workers.get(agentId);
-    if (worker != null && worker.ended(work)) {
+    if (worker != null && worker.recordEnded(work)) {
       pool(work.service()).queue().noteEnded(work.team());
     }
   }
@@ -403,7 +403,7 @@
   }
 
   void noteAdopted(Worker<Work> worker, TaskWork task) {
-    worker.adopt(task, latestMs);
+    worker.recordAdopted(task, latestMs);
     pool(task.service()).queue().noteAdopted(task.team());
   }
 
@@ -443,7 +443,7 @@
             pool.tellDemand(placesByCredit(service), effects::add, nowMs);
           });
     }
-    return takeEffects();
+    return drainEffects();
   }
 
   private void start(Work work, Worker<Work> worker, long nowMs) {
@@ -453,7 +453,7 @@
     }
   }
 
-  private List<DispatchEffect> takeEffects() {
+  private List<DispatchEffect> drainEffects() {
     List<DispatchEffect> taken = List.copyOf(effects);
     effects.clear();
     return taken;
@@ -462,7 +462,7 @@
   // What others may see.
 
   /** Drops the lease: this box may have slept, and the lease may be over. */
-  public void loseLease() {
+  public void dropLease() {
     leaseUntilMs = Long.MIN_VALUE;
   }
 
--- a/core/src/main/java/io/hingehoist/dispatch/JobDispatch.java
+++ b/core/src/main/java/io/hingehoist/dispatch/JobDispatch.java
@@ -271,7 +271,7 @@
     outcome.ifPresent(
         value ->
             effects.accept(
-                new DispatchEffect.Commit(run.spec().jobId(), run.spec().epoch(), value)));
+                new DispatchEffect.CommitOutcome(run.spec().jobId(), run.spec().epoch(), value)));
   }
 
   /** Notes that the outcome stands in the log: agents may drop the results. */
--- a/core/src/main/java/io/hingehoist/dispatch/ServicePool.java
+++ b/core/src/main/java/io/hingehoist/dispatch/ServicePool.java
@@ -57,7 +57,7 @@
   }
 
   void noteServiceTime(Worker<Work> worker, long micros) {
-    worker.noteServiceTime(micros);
+    worker.recordServiceTime(micros);
     sampleCount++;
     double weight = Math.max(AVERAGE_WEIGHT, 1.0 / sampleCount);
     averageServiceMs += weight * (micros / 1_000.0 - averageServiceMs);
@@ -119,14 +119,14 @@
     }
     while (next.isPresent()) {
       Work work = next.get();
-      PlacementPolicy policy = PlacementPolicy.named(policyOf.apply(work).placement());
+      PlacementPolicy policy = PlacementPolicy.forName(policyOf.apply(work).placement());
       Optional<Worker<Work>> chosen = policy.choose(untried(takers, work), random, nowMs);
       if (chosen.isEmpty()) {
         lastWaitedMs = nowMs;
         return;
       }
       queue.removeSent();
-      chosen.get().sent(work, nowMs);
+      chosen.get().recordSent(work, nowMs);
       sender.accept(work, chosen.get());
       next = queue.peek();
     }
--- a/core/src/main/java/io/hingehoist/placement/PlacementPolicy.java
+++ b/core/src/main/java/io/hingehoist/placement/PlacementPolicy.java
@@ -26,7 +26,7 @@
   record SlotCredits() implements PlacementPolicy {}
 
   /** Returns the policy that a setting names. */
-  static PlacementPolicy named(String name) {
+  static PlacementPolicy forName(String name) {
     return switch (name) {
       case "random" -> new RandomChoice();
       case "twoChoices" -> new TwoChoices();
--- a/core/src/main/java/io/hingehoist/placement/SlowWorkers.java
+++ b/core/src/main/java/io/hingehoist/placement/SlowWorkerEjection.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Finds the workers that are far slower than the others of their service. */
-public final class SlowWorkers {
+public final class SlowWorkerEjection {
   /** How long a slow worker is left out before it is tried again. */
   private static final long EJECTION_MS = 2_000;
 
@@ -14,7 +14,7 @@
 
   private static final int MIN_WORKERS = 3;
 
-  private SlowWorkers() {}
+  private SlowWorkerEjection() {}
 
   /**
    * Leaves out workers slower than the median by a factor.
--- a/core/src/main/java/io/hingehoist/placement/Worker.java
+++ b/core/src/main/java/io/hingehoist/placement/Worker.java
@@ -62,18 +62,18 @@
   }
 
   /** Notes that a connection is open and what the agent said of itself on it. */
-  public void connected(long incarnation, boolean draining, int newBusyForOthers, long nowMs) {
+  public void onStatus(long incarnation, boolean draining, int newBusyForOthers, long nowMs) {
     if (!connected || incarnation != seenIncarnation) {
       credits = 0;
     }
     connected = true;
     seenIncarnation = incarnation;
     refusesWork = draining;
-    noteBusyForOthers(newBusyForOthers, nowMs);
+    recordBusyForOthers(newBusyForOthers, nowMs);
   }
 
   /** Notes that the connection is lost. */
-  public void disconnected() {
+  public void onDisconnected() {
     connected = false;
     credits = 0;
   }
@@ -97,12 +97,12 @@
   }
 
   /** Notes that the agent said it takes no new work. */
-  public void noteRefusal() {
+  public void recordRefusal() {
     refusesWork = true;
   }
 
   /** Notes how many slots the agent said are taken by other entries. */
-  public void noteBusyForOthers(int slots, long nowMs) {
+  public void recordBusyForOthers(int slots, long nowMs) {
     busyForOthers = slots;
     reportedAtMs = nowMs;
   }
@@ -145,7 +145,7 @@
   }
 
   /** Notes that a piece of work was sent. */
-  public void sent(W work, long nowMs) {
+  public void recordSent(W work, long nowMs) {
     sentAtMs.put(work, nowMs);
     if (credits > 0) {
       credits--;
@@ -153,12 +153,12 @@
   }
 
   /** Notes that a piece of work runs here although this entry did not send it. */
-  public void adopt(W work, long nowMs) {
+  public void recordAdopted(W work, long nowMs) {
     sentAtMs.put(work, nowMs);
   }
 
   /** Notes that a piece of work is no longer in flight; returns whether it was. */
-  public boolean ended(W work) {
+  public boolean recordEnded(W work) {
     return sentAtMs.remove(work) != null;
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Takes a measured service time into the average. */
-  public void noteServiceTime(long micros) {
+  public void recordServiceTime(long micros) {
     sampleCount++;
     double weight = Math.max(AVERAGE_WEIGHT, 1.0 / sampleCount);
     averageMicros += weight * (micros - averageMicros);
--- a/core/src/main/java/io/hingehoist/route/RouteDownload.java
+++ b/core/src/main/java/io/hingehoist/route/RouteDownload.java
@@ -15,7 +15,7 @@
  * <p>The load that it answers: thousands of routes in one change, on a box with little processor
  * and a slow link that goes on serving callers. One part is asked for at a time, so that each turn
  * of the caller's loop has little to do. Call a method for each event, then carry out {@link
- * #takeEffects}. Not thread-safe.
+ * #drainEffects}. Not thread-safe.
  */
 public final class RouteDownload {
   /** Far longer than a part takes on a busy link, and short beside the time for a change. */
@@ -24,17 +24,18 @@
   /** What is to be done. */
   public sealed interface Effect {
     /** Sends a request to a replica. */
-    record Ask(String source, RoutesRequest request) implements Effect {}
+    record RequestPart(String source, RoutesRequest request) implements Effect {}
 
     /**
      * A table is in force.
      *
-     * @param tookMs the time since it was first asked for
+     * @param durationMs the time since it was first asked for
      */
-    record InForce(RouteTable table, String source, int partCount, long tookMs) implements Effect {}
+    record TableActivated(RouteTable table, String source, int partCount, long durationMs)
+        implements Effect {}
 
     /** What a replica sent leads to no table, or did not come. */
-    record GivenUp(String source, long version, String reason) implements Effect {}
+    record DownloadFailed(String source, long version, String reason) implements Effect {}
   }
 
   private static final class Fetch {
@@ -71,14 +72,14 @@
   }
 
   /** Returns what is to be done since the last call, in order. */
-  public List<Effect> takeEffects() {
+  public List<Effect> drainEffects() {
     List<Effect> taken = List.copyOf(effects);
     effects.clear();
     return taken;
   }
 
   /** Notes that a replica has a version. */
-  public void noticed(String source, long version, long nowMs) {
+  public void onVersionAnnounced(String source, long version, long nowMs) {
     versionBySource.merge(source, version, Math::max);
     if (current.isEmpty()) {
       beginIfBehind(nowMs);
@@ -86,7 +87,7 @@
   }
 
   /** Notes that a replica can't be asked any more. */
-  public void lost(String source, long nowMs) {
+  public void onSourceLost(String source, long nowMs) {
     versionBySource.remove(source);
     if (current.filter(fetch -> fetch.source.equals(source)).isPresent()) {
       giveUp("the connection is lost", nowMs);
@@ -103,7 +104,7 @@
   /** Another replica comes first from now on: the one that failed goes to the end of the order. */
   private void giveUp(String reason, long nowMs) {
     Fetch failed = current.orElseThrow();
-    effects.add(new Effect.GivenUp(failed.source, failed.version, reason));
+    effects.add(new Effect.DownloadFailed(failed.source, failed.version, reason));
     current = Optional.empty();
     Long version = versionBySource.remove(failed.source);
     if (version != null) {
@@ -128,11 +129,11 @@
     int partRoutes = table.version() == 0 ? RouteParts.FIRST_ROUTES : RouteParts.USUAL_ROUTES;
     RoutesRequest request =
         new RoutesRequest(heldVersion, heldDigest, fetch.version, fetch.nextPart, partRoutes);
-    effects.add(new Effect.Ask(fetch.source, request));
+    effects.add(new Effect.RequestPart(fetch.source, request));
   }
 
   /** Takes a part of what leads to a newer table. */
-  public void received(String source, RoutesPart part, long nowMs) {
+  public void onPart(String source, RoutesPart part, long nowMs) {
     if (current.filter(fetch -> fetch.source.equals(source)).isEmpty()) {
       return;
     }
@@ -181,12 +182,13 @@
       current = Optional.empty();
       table = built;
       effects.add(
-          new Effect.InForce(built, fetch.source, last.partCount(), nowMs - fetch.beganAtMs));
+          new Effect.TableActivated(
+              built, fetch.source, last.partCount(), nowMs - fetch.beganAtMs));
       beginIfBehind(nowMs);
     } else if (fetch.baseVersion == 0) {
       giveUp("the digest differs", nowMs);
     } else {
-      effects.add(new Effect.GivenUp(fetch.source, fetch.version, "the digest differs"));
+      effects.add(new Effect.DownloadFailed(fetch.source, fetch.version, "the digest differs"));
       fetch.nextPart = 0;
       ask(fetch, 0, 0, nowMs);
     }
--- a/core/src/main/java/io/hingehoist/route/RouteArchive.java
+++ b/core/src/main/java/io/hingehoist/route/RouteTableHistory.java
@@ -13,7 +13,7 @@
  * The newest route tables that a replica knows of, from which it tells others what has changed
  * since the one that they hold. Not thread-safe.
  */
-public final class RouteArchive {
+public final class RouteTableHistory {
   /** An owner that missed more changes than these gets the whole table. */
   private static final int KEPT_TABLES = 4;
 
@@ -24,11 +24,11 @@
   /** The parts that lead to the newest table, by what they begin with. */
   private final Map<PartsKey, List<RoutesPart>> partsByBase = new HashMap<>();
 
-  private RouteArchive() {}
+  private RouteTableHistory() {}
 
   /** Returns an archive of no table. */
-  public static RouteArchive create() {
-    return new RouteArchive();
+  public static RouteTableHistory create() {
+    return new RouteTableHistory();
   }
 
   /** Takes a committed table, unless a newer one is known. */
--- a/core/src/main/java/io/hingehoist/worker/TaskLedger.java
+++ b/core/src/main/java/io/hingehoist/worker/TaskLedger.java
@@ -93,7 +93,7 @@
    * Takes on a new incarnation after the control replicas have ended the old one. What was started
    * stays known; grants to the old incarnation are refused from now on.
    */
-  public void renew(long newIncarnation) {
+  public void renewIncarnation(long newIncarnation) {
     if (newIncarnation <= incarnation) {
       throw new IllegalArgumentException(
           "incarnation " + newIncarnation + " must be above " + incarnation);
@@ -112,7 +112,7 @@
   }
 
   /** Drops the lease: this box may have slept, and the lease may be over. */
-  public void loseLease() {
+  public void dropLease() {
     leaseUntilMs = Long.MIN_VALUE;
   }
 
@@ -136,7 +136,7 @@
   public List<LedgerEffect> onDisconnected(long connectionId) {
     slots.remove(connectionId);
     settleCredits(OptionalLong.empty(), credits -> null);
-    return takeEffects();
+    return drainEffects();
   }
 
   /** Takes a message from an entry in. */
@@ -151,7 +151,7 @@
       case CreditReturn returned -> onCreditReturn(connectionId, returned);
       default -> throw new IllegalArgumentException("not a message from an entry: " + message);
     }
-    return takeEffects();
+    return drainEffects();
   }
 
   private void onStartTask(long connectionId, StartTask start, long nowMs) {
@@ -334,14 +334,14 @@
       case RunKey.JobTask task -> onTaskEnded(task, state, result, ranMicros);
       case RunKey.Request request -> onRequestEnded(request, state, result, ranMicros);
     }
-    return takeEffects();
+    return drainEffects();
   }
 
   /**
    * Takes in that the backend server took no connection, so that the payload surely did not run.
    * The grant can't start it any more; another one may.
    */
-  public List<LedgerEffect> onNotRun(RunKey key) {
+  public List<LedgerEffect> onBackendUnreachable(RunKey key) {
     switch (key) {
       case RunKey.JobTask task -> onTaskNotRun(task);
       case RunKey.Request request -> {
@@ -356,7 +356,7 @@
                     credits));
       }
     }
-    return takeEffects();
+    return drainEffects();
   }
 
   private void onTaskNotRun(RunKey.JobTask task) {
@@ -440,7 +440,7 @@
     effects.add(new LedgerEffect.Send(connectionId, message));
   }
 
-  private List<LedgerEffect> takeEffects() {
+  private List<LedgerEffect> drainEffects() {
     List<LedgerEffect> taken = List.copyOf(effects);
     effects.clear();
     return taken;
--- a/core/src/test/java/io/hingehoist/dispatch/OnceGroup.java
+++ b/core/src/test/java/io/hingehoist/dispatch/OnceGroup.java
@@ -172,13 +172,13 @@
               connection.toAgent.add(send.message());
             }
           }
-          case DispatchEffect.Commit commit -> commit(commit);
+          case DispatchEffect.CommitOutcome commit -> commit(commit);
           case DispatchEffect.EndRequest end -> {}
         }
       }
     }
 
-    private void commit(DispatchEffect.Commit commit) {
+    private void commit(DispatchEffect.CommitOutcome commit) {
       Dispatcher committing = dispatcher;
       proposals.add(
           new Proposal(
@@ -223,7 +223,7 @@
       if (!state.isCurrentAgent(id, ledger.incarnation())) {
         if (state.agent(id).isPresent()
             && state.agent(id).get().info().incarnation() >= ledger.incarnation()) {
-          ledger.renew(++incarnations);
+          ledger.renewIncarnation(++incarnations);
         }
         apply(new RegisterAgent(id, ledger.incarnation(), "a", "z", "s", 3, 64));
         tellEntries();
@@ -278,7 +278,7 @@
         String payload = payloads.get(key);
         carryOut(
             payload == null
-                ? ledger.onNotRun(key)
+                ? ledger.onBackendUnreachable(key)
                 : ledger.onRunEnded(key, TaskState.SUCCEEDED, "done " + payload, 1));
       }
     }
--- a/core/src/test/java/io/hingehoist/route/RouteDownloadTest.java
+++ b/core/src/test/java/io/hingehoist/route/RouteDownloadTest.java
@@ -18,9 +18,9 @@
   private static final int MANY = 2_000;
 
   private RouteDownload download;
-  private final Map<String, RouteArchive> replicas = new HashMap<>();
-  private final List<RouteDownload.Effect.InForce> inForce = new ArrayList<>();
-  private final List<RouteDownload.Effect.GivenUp> givenUp = new ArrayList<>();
+  private final Map<String, RouteTableHistory> replicas = new HashMap<>();
+  private final List<RouteDownload.Effect.TableActivated> inForce = new ArrayList<>();
+  private final List<RouteDownload.Effect.DownloadFailed> givenUp = new ArrayList<>();
   private int asked;
   private int largestPart;
 
@@ -46,8 +46,8 @@
     return RouteTable.of(version, list);
   }
 
-  private RouteArchive replica(String name) {
-    return replicas.computeIfAbsent(name, n -> RouteArchive.create());
+  private RouteTableHistory replica(String name) {
+    return replicas.computeIfAbsent(name, n -> RouteTableHistory.create());
   }
 
   /** Brings requests to replicas and answers back, as long as there are any. */
@@ -57,22 +57,22 @@
 
   private void settle(long nowMs, int mostAnswers) {
     int answers = 0;
-    for (List<RouteDownload.Effect> effects = download.takeEffects();
+    for (List<RouteDownload.Effect> effects = download.drainEffects();
         !effects.isEmpty();
-        effects = download.takeEffects()) {
+        effects = download.drainEffects()) {
       for (RouteDownload.Effect effect : effects) {
         switch (effect) {
-          case RouteDownload.Effect.Ask ask -> {
+          case RouteDownload.Effect.RequestPart ask -> {
             asked++;
             Optional<RoutesPart> part = replica(ask.source()).answer(ask.request());
             if (part.isPresent() && answers++ < mostAnswers) {
               int routes = part.get().put().size() + part.get().removed().size();
               largestPart = Math.max(largestPart, routes);
-              download.received(ask.source(), part.get(), nowMs);
+              download.onPart(ask.source(), part.get(), nowMs);
             }
           }
-          case RouteDownload.Effect.InForce news -> inForce.add(news);
-          case RouteDownload.Effect.GivenUp news -> givenUp.add(news);
+          case RouteDownload.Effect.TableActivated news -> inForce.add(news);
+          case RouteDownload.Effect.DownloadFailed news -> givenUp.add(news);
         }
       }
     }
@@ -81,8 +81,8 @@
   private void hold(RouteTable table) {
     replica("a").add(table);
     replica("b").add(table);
-    download.noticed("a", table.version(), 0);
-    download.noticed("b", table.version(), 0);
+    download.onVersionAnnounced("a", table.version(), 0);
+    download.onVersionAnnounced("b", table.version(), 0);
     settle(0);
     assertEquals(download.table().version(), table.version());
     asked = 0;
@@ -94,18 +94,18 @@
     hold(table(7, 10));
     largestPart = 0;
     replica("a").add(table(8, MANY));
-    download.noticed("a", 8, 0);
+    download.onVersionAnnounced("a", 8, 0);
     settle(10);
     assertEquals(download.table().routes().size(), MANY);
     assertTrue(largestPart <= RouteParts.USUAL_ROUTES, "a part of " + largestPart);
-    assertEquals(inForce.getFirst().tookMs(), 10);
+    assertEquals(inForce.getFirst().durationMs(), 10);
   }
 
   /** All owners of a fleet start together after a loss of power, and refuse callers until then. */
   @Test
   public void whoeverHoldsNothingHasThousandsOfRoutesAfterSomeRoundTrips() {
     replica("a").add(table(7, MANY));
-    download.noticed("a", 7, 0);
+    download.onVersionAnnounced("a", 7, 0);
     settle(0);
     assertEquals(download.table().routes().size(), MANY);
     assertTrue(asked <= 4, "asked " + asked + " times");
@@ -128,7 +128,7 @@
     changed.put(route(500, 3));
     changed.remove(route(7, 0).place());
     replica("a").add(changed.build(9));
-    download.noticed("a", 9, 0);
+    download.onVersionAnnounced("a", 9, 0);
     settle(0);
     assertEquals(asked, 1);
     assertEquals(download.table().routes().size(), MANY - 1);
@@ -141,7 +141,7 @@
   public void aVersionThatChangesNoRouteIsInForceAsWell() {
     hold(table(7, 5));
     replica("a").add(table(8, 5));
-    download.noticed("a", 8, 0);
+    download.onVersionAnnounced("a", 8, 0);
     settle(0);
     assertEquals(download.table().version(), 8);
     assertEquals(asked, 1);
@@ -151,7 +151,7 @@
   public void theOldTableServesUntilTheNewOneIsWhole() {
     hold(table(7, 10));
     replica("a").add(table(8, MANY));
-    download.noticed("a", 8, 0);
+    download.onVersionAnnounced("a", 8, 0);
     settle(0, 3);
     assertEquals(download.table().version(), 7);
     assertTrue(download.table().find("h0", "/p999/x").isEmpty());
@@ -162,8 +162,8 @@
   public void anotherReplicaIsAskedWhenOneFallsSilentHalfway() {
     replica("a").add(table(7, MANY));
     replica("b").add(table(7, MANY));
-    download.noticed("a", 7, 0);
-    download.noticed("b", 7, 0);
+    download.onVersionAnnounced("a", 7, 0);
+    download.onVersionAnnounced("b", 7, 0);
     settle(0, 3);
     download.onTick(299);
     settle(299);
@@ -179,10 +179,10 @@
   public void anotherReplicaIsAskedAtOnceWhenTheConnectionIsLost() {
     replica("a").add(table(7, MANY));
     replica("b").add(table(7, MANY));
-    download.noticed("a", 7, 0);
-    download.noticed("b", 7, 0);
+    download.onVersionAnnounced("a", 7, 0);
+    download.onVersionAnnounced("b", 7, 0);
     settle(0, 3);
-    download.lost("a", 5);
+    download.onSourceLost("a", 5);
     settle(5);
     assertEquals(download.table().version(), 7);
   }
@@ -191,13 +191,13 @@
   public void aNewerVersionHalfwayTakesTheOldOnesPlace() {
     hold(table(7, 10));
     replica("a").add(table(8, MANY));
-    download.noticed("a", 8, 0);
+    download.onVersionAnnounced("a", 8, 0);
     settle(0, 3);
     replica("a").add(table(9, MANY + 100));
-    download.noticed("a", 9, 0);
+    download.onVersionAnnounced("a", 9, 0);
     // The part that was on its way got lost with its connection.
-    download.lost("a", 0);
-    download.noticed("a", 9, 0);
+    download.onSourceLost("a", 0);
+    download.onVersionAnnounced("a", 9, 0);
     settle(0);
     assertEquals(download.table().version(), 9);
     assertEquals(download.table().routes().size(), MANY + 100);
@@ -207,11 +207,11 @@
   public void anArchiveThatMovedOnAnswersWithTheFirstPartOfTheNewest() {
     hold(table(7, 10));
     replica("a").add(table(8, MANY));
-    download.noticed("a", 8, 0);
-    List<RouteDownload.Effect> effects = download.takeEffects();
+    download.onVersionAnnounced("a", 8, 0);
+    List<RouteDownload.Effect> effects = download.drainEffects();
     replica("a").add(table(9, 11));
-    RouteDownload.Effect.Ask ask = (RouteDownload.Effect.Ask) effects.getFirst();
-    download.received("a", replica("a").answer(ask.request()).orElseThrow(), 0);
+    RouteDownload.Effect.RequestPart ask = (RouteDownload.Effect.RequestPart) effects.getFirst();
+    download.onPart("a", replica("a").answer(ask.request()).orElseThrow(), 0);
     settle(0);
     assertEquals(download.table().version(), 9);
     assertEquals(download.table().routes().size(), 11);
@@ -219,12 +219,12 @@
 
   @Test
   public void whoeverHoldsSomethingElseGetsTheWhole() {
-    download.noticed("other", 7, 0);
+    download.onVersionAnnounced("other", 7, 0);
     replica("other").add(table(7, 3));
     settle(0);
     replica("a").add(table(7, 4));
     replica("a").add(table(8, 4));
-    download.noticed("a", 8, 0);
+    download.onVersionAnnounced("a", 8, 0);
     settle(0);
     assertEquals(download.table().version(), 8);
     assertEquals(download.table().routes().size(), 4);
@@ -234,9 +234,9 @@
   public void aBaseThatOnlySeemsTheSameIsFoundOutAtTheEnd() {
     hold(table(7, 3));
     RoutesPart honest = RouteParts.of(table(7, 4), table(8, 5), 64).getFirst();
-    download.noticed("liar", 8, 0);
-    download.takeEffects();
-    download.received("liar", honest, 0);
+    download.onVersionAnnounced("liar", 8, 0);
+    download.drainEffects();
+    download.onPart("liar", honest, 0);
     replica("liar").add(table(8, 5));
     settle(0);
     assertEquals(givenUp.getFirst().reason(), "the digest differs");
@@ -247,9 +247,9 @@
   @Test
   public void partsThatNobodyAskedForChangeNothing() {
     hold(table(7, 3));
-    download.received("a", RouteParts.of(table(7, 3), table(8, 9), 64).getFirst(), 0);
+    download.onPart("a", RouteParts.of(table(7, 3), table(8, 9), 64).getFirst(), 0);
     assertEquals(download.table().version(), 7);
-    download.noticed("a", 6, 0);
-    assertTrue(download.takeEffects().isEmpty());
+    download.onVersionAnnounced("a", 6, 0);
+    assertTrue(download.drainEffects().isEmpty());
   }
 }
--- a/core/src/test/java/io/hingehoist/worker/TaskLedgerTest.java
+++ b/core/src/test/java/io/hingehoist/worker/TaskLedgerTest.java
@@ -102,7 +102,7 @@
 
   @Test
   public void aGrantToAnotherIncarnationIsRefused() {
-    ledger.renew(INCARNATION + 1);
+    ledger.renewIncarnation(INCARNATION + 1);
     assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.WRONG_INCARNATION);
   }
 
@@ -139,7 +139,8 @@
   @Test
   public void aTaskThatTheBackendServerNeverTookMayStartElsewhereButNotUnderTheSameGrant() {
     receive(start(1, 1, 0, 1));
-    TaskNotStarted answer = (TaskNotStarted) sent(ledger.onNotRun(new RunKey.JobTask(1, 0)));
+    TaskNotStarted answer =
+        (TaskNotStarted) sent(ledger.onBackendUnreachable(new RunKey.JobTask(1, 0)));
     assertEquals(answer.reason(), NotStartedReason.BACKEND_UNREACHABLE);
     assertEquals(answer.grantNumber(), 1);
     assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.REVOKED);
--- a/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
+++ b/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
@@ -132,7 +132,7 @@
     long sleptMs = sleepWatch.sleptMs();
     if (sleptMs > 0) {
       LOG.infof("event=mayHaveSlept agent=%s ms=%d", node.nodeId(), sleptMs);
-      ledger.loseLease();
+      ledger.dropLease();
       sleeps++;
       heartbeatSentAtMs = 0;
     }
@@ -220,7 +220,7 @@
     heartbeatSentAtMs = 0;
     if (result instanceof MemberRefused refused) {
       long next = Leases.nextIncarnation(refused);
-      ledger.renew(next);
+      ledger.renewIncarnation(next);
       LOG.infof("event=incarnationRenewed agent=%s incarnation=%d", node.nodeId(), next);
       tellEntries();
     }
@@ -266,7 +266,7 @@
       }
       case BackendAnswer.NotReached notReached -> {
         metrics.noteTask("NOT_REACHED");
-        carryOut(ledger.onNotRun(key));
+        carryOut(ledger.onBackendUnreachable(key));
       }
     }
   }
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -146,7 +146,7 @@
     long sleptMs = sleepWatch.sleptMs();
     if (sleptMs > 0) {
       LOG.infof("event=mayHaveSlept entry=%s ms=%d", node.nodeId(), sleptMs);
-      dispatcher.loseLease();
+      dispatcher.dropLease();
       session.noteSleep();
     }
   }
@@ -170,7 +170,7 @@
     for (DispatchEffect effect : effects) {
       switch (effect) {
         case DispatchEffect.Send send -> links.send(send.agentId(), send.message());
-        case DispatchEffect.Commit commit -> jobs.commit(commit);
+        case DispatchEffect.CommitOutcome commit -> jobs.commit(commit);
         case DispatchEffect.EndRequest end -> endRequest(end.requestId(), end.outcome());
       }
     }
--- a/daemon/src/main/java/io/hingehoist/entry/JobDesk.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobDesk.java
@@ -254,13 +254,13 @@
   }
 
   /** Commits an outcome, and answers the callers once it is committed. */
-  void commit(DispatchEffect.Commit commit) {
+  void commit(DispatchEffect.CommitOutcome commit) {
     control
         .propose(new CompleteJob(commit.jobId(), commit.epoch(), commit.outcome()))
         .thenAccept(result -> dispatchThread.execute(() -> onCommitAnswer(commit, result)));
   }
 
-  private void onCommitAnswer(DispatchEffect.Commit commit, CommandResult result) {
+  private void onCommitAnswer(DispatchEffect.CommitOutcome commit, CommandResult result) {
     LocalJob job = byJobId.remove(commit.jobId());
     if (result instanceof OutcomeCommitted) {
       effects.accept(dispatcher.onOutcomeCommitted(commit.jobId()));
--- a/daemon/src/main/java/io/hingehoist/owner/RouteFollower.java
+++ b/daemon/src/main/java/io/hingehoist/owner/RouteFollower.java
@@ -39,18 +39,18 @@
 
   void onNotice(String address, DocumentNotice notice) {
     if (notice.name().equals(document)) {
-      download.noticed(address, notice.version(), EventLoop.nowMs());
+      download.onVersionAnnounced(address, notice.version(), EventLoop.nowMs());
       carryOut();
     }
   }
 
   void onPart(String address, RoutesPart part) {
-    download.received(address, part, EventLoop.nowMs());
+    download.onPart(address, part, EventLoop.nowMs());
     carryOut();
   }
 
   void onLost(String address) {
-    download.lost(address, EventLoop.nowMs());
+    download.onSourceLost(address, EventLoop.nowMs());
     carryOut();
   }
 
@@ -61,11 +61,11 @@
   }
 
   private void carryOut() {
-    for (RouteDownload.Effect effect : download.takeEffects()) {
+    for (RouteDownload.Effect effect : download.drainEffects()) {
       switch (effect) {
-        case RouteDownload.Effect.Ask ask -> controls.send(ask.source(), ask.request());
-        case RouteDownload.Effect.InForce inForce -> noteInForce(inForce);
-        case RouteDownload.Effect.GivenUp givenUp -> {
+        case RouteDownload.Effect.RequestPart ask -> controls.send(ask.source(), ask.request());
+        case RouteDownload.Effect.TableActivated inForce -> noteInForce(inForce);
+        case RouteDownload.Effect.DownloadFailed givenUp -> {
           String outcome = "version=%d reason=%s".formatted(givenUp.version(), givenUp.reason());
           log.write("configurationFetchGivenUp", givenUp.source(), outcome);
         }
@@ -73,10 +73,10 @@
     }
   }
 
-  private void noteInForce(RouteDownload.Effect.InForce inForce) {
+  private void noteInForce(RouteDownload.Effect.TableActivated inForce) {
     String outcome =
         "version=%d parts=%d fetchMs=%d"
-            .formatted(inForce.table().version(), inForce.partCount(), inForce.tookMs());
+            .formatted(inForce.table().version(), inForce.partCount(), inForce.durationMs());
     log.write("configurationInForce", inForce.source(), outcome);
     answerWaiting(EventLoop.nowMs());
   }
@@ -102,7 +102,7 @@
     long nowMs = EventLoop.nowMs();
     waiting.add(new Waiting(newest.version(), nowMs + READ_TIMEOUT_MS, result));
     if (newest.version() > table().version()) {
-      download.noticed(newest.address(), newest.version(), nowMs);
+      download.onVersionAnnounced(newest.address(), newest.version(), nowMs);
       carryOut();
     }
     answerWaiting(nowMs);
--- a/daemon/src/main/java/io/hingehoist/quorum/RouteFeed.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/RouteFeed.java
@@ -3,8 +3,8 @@
 import io.hingehoist.message.Bytes;
 import io.hingehoist.message.RoutesRequest;
 import io.hingehoist.net.EventLoop;
-import io.hingehoist.route.RouteArchive;
 import io.hingehoist.route.RouteTable;
+import io.hingehoist.route.RouteTableHistory;
 import io.hingehoist.wire.MessageSink;
 
 /**
@@ -25,7 +25,7 @@
   private final Reader reader;
 
   /** Owned by the event loop. */
-  private final RouteArchive archive = RouteArchive.create();
+  private final RouteTableHistory archive = RouteTableHistory.create();
 
   private RouteFeed(EventLoop loop, String document, Reader reader) {
     this.loop = loop;
