--- a/core/src/main/java/io/hingehoist/run/host/AnswerTimes.java
+++ b/core/src/main/java/io/hingehoist/run/host/AdaptiveTimeout.java
@@ -7,7 +7,7 @@
  * <p>The smoothed mean and deviation of RFC 6298 (retransmission timer of TCP), with its doubling
  * after each loss until the next answer. Not thread-safe: {@link WorkerHost} owns it.
  */
-final class AnswerTimes {
+final class AdaptiveTimeout {
   private static final double MEAN_WEIGHT = 0.125;
   private static final double DEVIATION_WEIGHT = 0.25;
   private static final int DEVIATIONS = 4;
@@ -36,7 +36,7 @@
   private long lostBeforeAtMs = -LOSSY_FOR_MS;
 
   /** Notes an answer, and how long it took. */
-  void noteAnswer(long tookMs) {
+  void recordResponse(long tookMs) {
     lossesInARow = 0;
     if (meanMs < 0) {
       meanMs = tookMs;
@@ -48,14 +48,14 @@
   }
 
   /** Notes that a call got no answer. */
-  void noteLoss(long nowMs) {
+  void recordLoss(long nowMs) {
     lossesInARow++;
     lostBeforeAtMs = lostAtMs;
     lostAtMs = nowMs;
   }
 
   /** Returns whether two calls were lost a moment ago: one may just have been slow. */
-  boolean losesCalls(long nowMs) {
+  boolean isLossy(long nowMs) {
     return nowMs - lostBeforeAtMs < LOSSY_FOR_MS;
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/CrashLog.java
+++ b/core/src/main/java/io/hingehoist/run/host/CrashLog.java
@@ -12,9 +12,9 @@
  */
 final class CrashLog {
   /** Far longer than callers bring the same job again. */
-  private static final long KEPT_MS = 60_000;
+  private static final long RETENTION_MS = 60_000;
 
-  private static final int MAX_KEPT = 16;
+  private static final int MAX_CRASHES = 16;
 
   private record Crash(String workerId, long atMs, boolean again, List<String> tasks) {
     private WorkerCrashed toMessage(long nowMs) {
@@ -29,14 +29,14 @@
    *
    * @param atMs when it happened, as far as is known
    */
-  WorkerCrashed note(WorkerLife life, long atMs, long nowMs) {
+  WorkerCrashed add(WorkerInstance instance, long atMs, long nowMs) {
     forgetOld(nowMs);
-    List<String> tasks = life.runs().stream().map(run -> run.run.task()).distinct().toList();
+    List<String> tasks = instance.runs().stream().map(run -> run.run.task()).distinct().toList();
     boolean again =
         !newestFirst.isEmpty() && Collections.disjoint(newestFirst.getFirst().tasks(), tasks);
-    Crash crash = new Crash(life.id(), atMs, again, tasks);
+    Crash crash = new Crash(instance.id(), atMs, again, tasks);
     newestFirst.addFirst(crash);
-    if (newestFirst.size() > MAX_KEPT) {
+    if (newestFirst.size() > MAX_CRASHES) {
       newestFirst.removeLast();
     }
     return crash.toMessage(nowMs);
@@ -49,6 +49,6 @@
   }
 
   private void forgetOld(long nowMs) {
-    newestFirst.removeIf(crash -> nowMs - crash.atMs() >= KEPT_MS);
+    newestFirst.removeIf(crash -> nowMs - crash.atMs() >= RETENTION_MS);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/FencingToken.java
+++ b/core/src/main/java/io/hingehoist/run/host/FencingToken.java
@@ -6,13 +6,13 @@
  * {@link WorkerHost}.
  */
 final class FencingToken {
-  private static final long FIRST_JUMP = 1_000;
+  private static final long INITIAL_INCREMENT = 1_000;
 
   /** Far above the difference of two tokens that begin as times; smaller ones never overflow. */
-  private static final long LONGEST_JUMP = 1L << 40;
+  private static final long MAX_INCREMENT = 1L << 40;
 
   private long value;
-  private long jump = FIRST_JUMP;
+  private long increment = INITIAL_INCREMENT;
 
   FencingToken(long value) {
     this.value = value;
@@ -23,7 +23,7 @@
   }
 
   void raise() {
-    value += jump;
-    jump = Math.min(LONGEST_JUMP, 2 * jump);
+    value += increment;
+    increment = Math.min(MAX_INCREMENT, 2 * increment);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
@@ -22,7 +22,7 @@
   /** Sends a message to the owner of a session, if the session is open. */
   void send(long sessionId, Message message) {
     if (sessions.isOpen(sessionId)) {
-      effects.add(new HostEffect.ToOwner(sessionId, message));
+      effects.add(new HostEffect.SendToOwner(sessionId, message));
     }
   }
 
@@ -37,13 +37,13 @@
    * @param task the task that it is about; empty if it is about none
    * @param where the worker, owner or process that it is about
    */
-  void note(String event, String task, String where, String outcome) {
+  void logDecision(String event, String task, String where, String outcome) {
     String job = task.isEmpty() ? "" : TaskNames.jobOf(task);
-    effects.add(new HostEffect.Noted(new Decision(event, job, task, where, outcome)));
+    effects.add(new HostEffect.LogDecision(new Decision(event, job, task, where, outcome)));
   }
 
   /** Returns the effects since the last call. */
-  List<HostEffect> take() {
+  List<HostEffect> drain() {
     List<HostEffect> taken = List.copyOf(effects);
     effects.clear();
     return taken;
--- a/core/src/main/java/io/hingehoist/run/host/HostedRun.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostedRun.java
@@ -27,7 +27,7 @@
   long stopSentAtMs;
 
   /** When the last call about it was sent, and how many in a row had no answer. */
-  long calledAtMs;
+  long lastCallAtMs;
 
   int unansweredCalls;
 
@@ -35,13 +35,13 @@
   int unansweredStarts;
 
   /** When the deadlines of all its start calls have passed, so that none can be carried out. */
-  long startsVoidAtMs;
+  long startCallsExpireAtMs;
 
   /** Whether the answer of a stop is yet to come. */
-  boolean stopIsOpen;
+  boolean stopPending;
 
   /** When others take it for over; the latest time there is while it may go on. */
-  private long dueOverMs = Long.MAX_VALUE;
+  private long mustEndByMs = Long.MAX_VALUE;
 
   HostedRun(RunRef run, StartRuns order, long sessionId, long nowMs) {
     this.run = run;
@@ -53,16 +53,16 @@
   }
 
   /** Notes that others take it for over at a time; the earliest counts. */
-  void noteDueOver(long atMs) {
-    dueOverMs = Math.min(dueOverMs, atMs);
+  void limitEnd(long atMs) {
+    mustEndByMs = Math.min(mustEndByMs, atMs);
   }
 
-  long dueOverMs() {
-    return dueOverMs;
+  long mustEndByMs() {
+    return mustEndByMs;
   }
 
   /** Returns whether an order of it may be on its way: one had no answer, or none has yet. */
-  boolean mayComeLate() {
+  boolean mayStillStart() {
     return state == State.ORDERED || state == State.STOPPING || unansweredStarts > 0;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
+++ b/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
@@ -9,7 +9,7 @@
  */
 final class LeaseBounds {
   /** A run that is started on a shorter lease would hardly end within it. */
-  private static final long LEAST_START_LEASE_MS = 200;
+  private static final long MIN_START_LEASE_MS = 200;
 
   /** Time for what is late on its way to the worker, and for a caller's clock. */
   private static final long MARGIN_MS = 100;
@@ -23,33 +23,33 @@
   }
 
   /** Returns until when a lease that is granted now may keep the runs of a worker going. */
-  long latestOverMs(WorkerLife life, long nowMs) {
+  long latestEndMs(WorkerInstance instance, long nowMs) {
     long latestMs = nowMs + timing.workerOverAfterMs();
-    for (HostedRun run : life.runs()) {
-      latestMs = Math.min(latestMs, Math.min(run.dueOverMs(), dueOverMs(run)));
+    for (HostedRun run : instance.runs()) {
+      latestMs = Math.min(latestMs, Math.min(run.mustEndByMs(), mustEndByMs(run)));
     }
     return latestMs;
   }
 
-  private long dueOverMs(HostedRun run) {
-    return sessions.find(run.sessionId).map(this::ofOwner).orElse(Long.MAX_VALUE);
+  private long mustEndByMs(HostedRun run) {
+    return sessions.find(run.sessionId).map(this::ownerRunsEndByMs).orElse(Long.MAX_VALUE);
   }
 
   /**
    * Returns when the runs of an owner are due to be over unless it is heard: its callers return.
    */
-  long ofOwner(OwnerSession session) {
-    return session.lease.untilMs() + timing.ownerLeaseMs() - MARGIN_MS;
+  long ownerRunsEndByMs(OwnerSession session) {
+    return session.lease.expiresAtMs() + timing.ownerLeaseMs() - MARGIN_MS;
   }
 
   /** Returns when a run is due to be over that is to be stopped now. */
-  long ofStop(long nowMs) {
+  long stoppedRunEndsByMs(long nowMs) {
     return nowMs + timing.workerOverAfterMs();
   }
 
   /** Returns whether a run that starts now can have a lease that is of use. */
-  boolean allowsStart(WorkerLife life, long nowMs) {
-    long overMs = Math.max(life.leaseOverAtMs(), latestOverMs(life, nowMs));
-    return overMs - nowMs >= LEAST_START_LEASE_MS;
+  boolean allowsStart(WorkerInstance instance, long nowMs) {
+    long overMs = Math.max(instance.leaseOverAtMs(), latestEndMs(instance, nowMs));
+    return overMs - nowMs >= MIN_START_LEASE_MS;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSession.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSession.java
@@ -9,12 +9,12 @@
 
 /** A connection of an owner to a host. Owned by {@link WorkerHost}. */
 final class OwnerSession {
-  private static final class Waiting {
+  private static final class WaitingTasks {
     private final int rank;
     private final long sinceMs;
     private int taskCount;
 
-    private Waiting(WaitingRow row, long nowMs) {
+    private WaitingTasks(WaitingRow row, long nowMs) {
       this.rank = row.rank();
       this.sinceMs = nowMs - row.waitedMs();
       this.taskCount = row.taskCount();
@@ -22,12 +22,12 @@
   }
 
   /** Some round trips to an owner that is busy; then the probe counts as lost. */
-  private static final long ANSWER_PATIENCE_MS = 500;
+  private static final long PROBE_TIMEOUT_MS = 500;
 
   final long id;
   final String ownerId;
-  final LeaseClock lease;
-  private final Map<String, Waiting> waitingByService = new HashMap<>();
+  final PeerLease lease;
+  private final Map<String, WaitingTasks> waitingByService = new HashMap<>();
   boolean formerRunsOver;
 
   /** The number of this session's runs that are not over. */
@@ -41,81 +41,81 @@
   /** Whether the owner is shown changes as they come, or only in answer to its heartbeats. */
   boolean follows = true;
 
-  long shownAtMs;
+  long rowsSentAtMs;
 
   private OptionalLong probe = OptionalLong.empty();
-  private long askedAtMs;
-  private boolean doubted;
-  private long doubtedSinceMs;
+  private long probeSentAtMs;
+  private boolean unverified;
+  private long unverifiedSinceMs;
 
-  OwnerSession(long id, String ownerId, LeaseClock lease) {
+  OwnerSession(long id, String ownerId, PeerLease lease) {
     this.id = id;
     this.ownerId = ownerId;
     this.lease = lease;
   }
 
   /** Notes that the owner was sent a probe. */
-  void ask(long number, long nowMs) {
+  void recordProbe(long number, long nowMs) {
     probe = OptionalLong.of(number);
-    askedAtMs = nowMs;
+    probeSentAtMs = nowMs;
   }
 
   /** Returns whether the answer to a probe may yet come. */
-  boolean isAsked(long nowMs) {
-    return probe.isPresent() && nowMs - askedAtMs < ANSWER_PATIENCE_MS;
+  boolean isProbePending(long nowMs) {
+    return probe.isPresent() && nowMs - probeSentAtMs < PROBE_TIMEOUT_MS;
   }
 
   /** Believes nothing of the lease until the owner answers a probe. */
-  void doubt(long nowMs) {
-    doubted = true;
-    doubtedSinceMs = nowMs;
+  void markUnverified(long nowMs) {
+    unverified = true;
+    unverifiedSinceMs = nowMs;
   }
 
-  boolean isDoubted() {
-    return doubted;
+  boolean isUnverified() {
+    return unverified;
   }
 
-  long doubtedMs(long nowMs) {
-    return nowMs - doubtedSinceMs;
+  long unverifiedForMs(long nowMs) {
+    return nowMs - unverifiedSinceMs;
   }
 
   /**
    * Takes an answer to a probe, which compares clocks and ends a doubt; returns whether it is one.
    */
-  boolean takeProof(long number, long sentAtMs, long nowMs) {
+  boolean acceptProof(long number, long sentAtMs, long nowMs) {
     boolean proves = probe.isPresent() && probe.getAsLong() == number;
     if (proves) {
-      lease.onAnswer(askedAtMs, sentAtMs, nowMs);
+      lease.onProbeAnswer(probeSentAtMs, sentAtMs, nowMs);
       probe = OptionalLong.empty();
-      doubted = false;
+      unverified = false;
     }
     return proves;
   }
 
   /** Returns whether runs of the owner may be started. */
   boolean allowsStarts(long nowMs) {
-    return !isDoubted() && !lease.isOver(nowMs);
+    return !isUnverified() && !lease.isExpired(nowMs);
   }
 
   /** Takes the owner's word of what waits there; it replaces what was known. */
-  void takeWaiting(List<WaitingRow> rows, long nowMs) {
+  void replaceWaitingTasks(List<WaitingRow> rows, long nowMs) {
     waitingByService.clear();
-    rows.forEach(row -> waitingByService.put(row.service(), new Waiting(row, nowMs)));
+    rows.forEach(row -> waitingByService.put(row.service(), new WaitingTasks(row, nowMs)));
   }
 
-  boolean waitsFor(String service) {
-    Waiting waiting = waitingByService.get(service);
+  boolean hasWaitingTasks(String service) {
+    WaitingTasks waiting = waitingByService.get(service);
     return waiting != null && waiting.taskCount > 0;
   }
 
   /** Notes that room was offered for one of the tasks that wait. */
-  void noteOffered(String service) {
+  void recordReservation(String service) {
     waitingByService.get(service).taskCount--;
     rowsDue = true;
   }
 
   /** Forgets what waits: the owner made no use of an offer, and will say what is true now. */
-  void forgetWaiting(String service) {
+  void clearWaitingTasks(String service) {
     waitingByService.remove(service);
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessions.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessions.java
@@ -57,14 +57,14 @@
   }
 
   /** Forgets the connections that ended and have no runs any more. */
-  void forgetEnded(LongPredicate hasRuns) {
+  void removeEndedWithoutRuns(LongPredicate hasRuns) {
     ownersOfEnded.keySet().removeIf(id -> !hasRuns.test(id));
   }
 
   /** Returns the connection whose work comes first of those that wait for room of a service. */
-  Optional<OwnerSession> firstToServe(String service) {
+  Optional<OwnerSession> mostUrgent(String service) {
     return open.values().stream()
-        .filter(session -> session.waitsFor(service))
+        .filter(session -> session.hasWaitingTasks(service))
         .min(OwnerSession.byUrgency(service));
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/PaceMeter.java
+++ b/core/src/main/java/io/hingehoist/run/host/PaceEstimator.java
@@ -6,9 +6,9 @@
  *
  * <p>The geometric mean of many ends, as estimates are off by a factor rather than by an amount.
  * One run that takes far longer than its like says little of the worker, so it counts for a bounded
- * factor. Owned by {@link WorkerLife}.
+ * factor. Owned by {@link WorkerInstance}.
  */
-final class PaceMeter {
+final class PaceEstimator {
   /** From so many ends on a pace is told; the tasks of one job share its wrong estimate. */
   private static final int MIN_ENDS = 12;
 
@@ -16,38 +16,40 @@
   private static final int REMEMBERED_ENDS = 256;
 
   /** One end counts for a factor of 3 at most, up or down. */
-  private static final double MAX_LOG_OFF = Math.log(3);
+  private static final double MAX_LOG_DEVIATION = Math.log(3);
 
   /** What is told stays as it is until the pace has moved by this factor. */
-  private static final double TOLD_STEP = 1.08;
+  private static final double REPORT_FACTOR = 1.08;
 
   private int ends;
   private double logPace;
-  private int toldPercent;
+  private int reportedPercent;
 
   /** Notes a run that ended well while the worker got on as usual. */
-  void noteDone(long ranMs, long estimateMs) {
+  void recordSuccess(long ranMs, long estimateMs) {
     double logRatio = Math.log(Math.max(1.0, ranMs) / Math.max(1.0, estimateMs));
-    double off = Math.clamp(logRatio - logPace, -MAX_LOG_OFF, MAX_LOG_OFF);
+    double off = Math.clamp(logRatio - logPace, -MAX_LOG_DEVIATION, MAX_LOG_DEVIATION);
     ends++;
     logPace += off / Math.min(ends, REMEMBERED_ENDS);
-    tell();
+    updateReportedPercent();
   }
 
-  private void tell() {
+  private void updateReportedPercent() {
     if (ends < MIN_ENDS) {
       return;
     }
     double percent = 100 * Math.exp(logPace);
     boolean moved =
-        toldPercent == 0 || percent > toldPercent * TOLD_STEP || percent < toldPercent / TOLD_STEP;
+        reportedPercent == 0
+            || percent > reportedPercent * REPORT_FACTOR
+            || percent < reportedPercent / REPORT_FACTOR;
     if (moved) {
-      toldPercent = (int) Math.max(1, Math.round(percent));
+      reportedPercent = (int) Math.max(1, Math.round(percent));
     }
   }
 
   /** Returns the pace in hundredths of the estimates; 0 while too little is known. */
   int percent() {
-    return toldPercent;
+    return reportedPercent;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/ProgressWatch.java
+++ b/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
@@ -15,7 +15,7 @@
  * before any of them has ended; each owner by itself lost some jobs to it first. Afterwards it
  * rests, and is then tried with a few runs. Not thread-safe: {@link WorkerHost} owns it.
  */
-final class ProgressWatch {
+final class ProgressMonitor {
   /** How a worker's runs get on. */
   enum Pace {
     USUAL,
@@ -56,7 +56,7 @@
 
   private final Map<RunRef, Mark> marks = new HashMap<>();
   private final Set<String> jobs = new HashSet<>();
-  private final GrowingPause rest = new GrowingPause(FIRST_REST_MS, MAX_REST_MS);
+  private final ExponentialBackoff rest = new ExponentialBackoff(FIRST_REST_MS, MAX_REST_MS);
   private double workMs;
   private double runMs;
   private double expectedPercent;
@@ -66,7 +66,7 @@
   private boolean seemedSlow;
 
   /** Notes how far a run has got. */
-  void noteProgress(HostedRun run, int percent, long nowMs) {
+  void recordProgress(HostedRun run, int percent, long nowMs) {
     Mark before = marks.put(run.run, new Mark(percent, nowMs));
     if (before != null && before.percent() < ALL_DONE) {
       add(run, percent - before.percent(), nowMs - before.atMs());
@@ -74,7 +74,7 @@
   }
 
   /** Notes that a run has ended well. */
-  void noteDone(HostedRun run, long nowMs) {
+  void recordSuccess(HostedRun run, long nowMs) {
     Mark before = marks.get(run.run);
     if (before != null) {
       add(run, ALL_DONE - before.percent(), nowMs - before.atMs());
@@ -113,10 +113,10 @@
       usualRate += USUAL_WEIGHT * (rate - usualRate);
       rest.reset();
     } else {
-      if (isOnTrial() && !rest.lasts(nowMs)) {
-        rest.grow();
+      if (isOnTrial() && !rest.isActive(nowMs)) {
+        rest.increase();
       }
-      rest.begin(nowMs);
+      rest.start(nowMs);
     }
     pace = judged;
     return changed;
@@ -150,7 +150,7 @@
 
   /** Returns the pace; a worker that has rested counts as usual until it is judged again. */
   Pace pace(long nowMs) {
-    return rest.lasts(nowMs) ? pace : Pace.USUAL;
+    return rest.isActive(nowMs) ? pace : Pace.USUAL;
   }
 
   /** Returns whether a few runs are enough to see whether the worker is well again. */
--- a/core/src/main/java/io/hingehoist/run/host/ShownRows.java
+++ b/core/src/main/java/io/hingehoist/run/host/RowUpdateThrottle.java
@@ -7,7 +7,7 @@
  * What a host showed of its workers to every owner, and whether it is time to show them again.
  * Owned by {@link WorkerHost}.
  */
-final class ShownRows {
+final class RowUpdateThrottle {
   private static final long MIN_PAUSE_MS = 60;
 
   /**
@@ -16,32 +16,32 @@
   private static final long PAUSE_PER_OWNER_MS = 20;
 
   /** To whom rows are to be shown now. */
-  enum Due {
-    NOBODY,
+  enum Recipients {
+    NONE,
     FOLLOWERS,
     ALL
   }
 
   private List<WorkerRow> shown = List.of();
-  private long shownAtMs;
+  private long rowsSentAtMs;
 
   /**
    * Returns to whom rows are to be shown, and takes it that they are. What owners don't wait for is
    * put off for a moment, so that several changes go out together, and goes only to owners that
    * follow this host; the others hear of it with their next heartbeat.
    */
-  Due due(List<WorkerRow> rows, int ownerCount, long nowMs) {
+  Recipients recipients(List<WorkerRow> rows, int ownerCount, long nowMs) {
     if (rows.equals(shown)) {
-      return Due.NOBODY;
+      return Recipients.NONE;
     }
     boolean urgent = isUrgent(rows);
     long pauseMs = Math.max(MIN_PAUSE_MS, ownerCount * PAUSE_PER_OWNER_MS);
-    if (!urgent && nowMs - shownAtMs < pauseMs) {
-      return Due.NOBODY;
+    if (!urgent && nowMs - rowsSentAtMs < pauseMs) {
+      return Recipients.NONE;
     }
     shown = rows;
-    shownAtMs = nowMs;
-    return urgent ? Due.ALL : Due.FOLLOWERS;
+    rowsSentAtMs = nowMs;
+    return urgent ? Recipients.ALL : Recipients.FOLLOWERS;
   }
 
   /** Owners must not use a worker that takes nothing, and wait for one that does. */
--- a/core/src/main/java/io/hingehoist/run/host/RunOrders.java
+++ b/core/src/main/java/io/hingehoist/run/host/RunController.java
@@ -16,7 +16,7 @@
  * provably over. The room of a worker is charged from the order of a run until its end is known.
  * Owned by {@link WorkerHost}.
  */
-final class RunOrders {
+final class RunController {
   /** An order is sent so often before its number is barred. */
   private static final int MAX_STARTS = 3;
 
@@ -24,39 +24,39 @@
    * How late a call may be carried out that had no answer, where its deadline says nothing: it was
    * by the clock of a former life of the worker.
    */
-  private static final long LATE_CALL_MS = 15_000;
+  private static final long MAX_CALL_DELAY_MS = 15_000;
 
   /** A stop that failed sooner than a lost call would waits for the next tick. */
-  private static final long MIN_STOP_PAUSE_MS = 10;
+  private static final long MIN_STOP_RETRY_MS = 10;
 
   /**
    * From which unanswered call in a row on a new connection is tried: those that are kept fall
    * silent together. A lost call has cost its connection already.
    */
-  private static final int FRESH_CONNECTION_AFTER = 1;
+  private static final int FRESH_CONNECTION_AFTER_LOST_CALLS = 1;
 
   private final String hostId;
-  private final WorkerLives lives;
+  private final WorkerInstances instances;
   private final OwnerSessions sessions;
-  private final StartGate gate;
+  private final StartGuard startGuard;
   private final FencingToken token;
   private final LeaseBounds bounds;
   private final HostOutbox outbox;
   private final CrashLog crashes = new CrashLog();
   private long unansweredStartCount;
 
-  RunOrders(
+  RunController(
       String hostId,
-      WorkerLives lives,
+      WorkerInstances instances,
       OwnerSessions sessions,
-      StartGate gate,
+      StartGuard startGuard,
       FencingToken token,
       LeaseBounds bounds,
       HostOutbox outbox) {
     this.hostId = hostId;
-    this.lives = lives;
+    this.instances = instances;
     this.sessions = sessions;
-    this.gate = gate;
+    this.startGuard = startGuard;
     this.token = token;
     this.bounds = bounds;
     this.outbox = outbox;
@@ -78,27 +78,31 @@
   }
 
   private void start(OwnerSession session, StartRuns order, RunRef run, long nowMs) {
-    Optional<WorkerLife> life = lives.find(order.workerId());
-    Optional<RunRefusal> refusal = refusalOf(life, session, order, run, nowMs);
+    Optional<WorkerInstance> instance = instances.find(order.workerId());
+    Optional<RunRefusal> refusal = refusalOf(instance, session, order, run, nowMs);
     if (refusal.isPresent()) {
       refuse(session.id, run, order.workerId(), refusal.get());
       return;
     }
     HostedRun hosted = new HostedRun(run, order, session.id, nowMs);
-    life.get().add(hosted);
+    instance.get().add(hosted);
     session.runCount++;
-    life.get().offers.taken(session.id, order.need());
-    callStart(life.get(), hosted, nowMs);
+    instance.get().reservations.consume(session.id, order.need());
+    callStart(instance.get(), hosted, nowMs);
   }
 
   private Optional<RunRefusal> refusalOf(
-      Optional<WorkerLife> found, OwnerSession session, StartRuns order, RunRef run, long nowMs) {
-    if (!gate.isZoneOpen()) {
-      gate.noteRefusedForZone();
+      Optional<WorkerInstance> found,
+      OwnerSession session,
+      StartRuns order,
+      RunRef run,
+      long nowMs) {
+    if (!startGuard.zoneAllowsStarts()) {
+      startGuard.countZoneRefusal();
       return Optional.of(RunRefusal.ZONE_EVACUATED);
     }
-    Optional<WorkerLife> ready =
-        found.filter(life -> takesRuns(life.state(gate.isStopping(), nowMs)));
+    Optional<WorkerInstance> ready =
+        found.filter(instance -> acceptsRuns(instance.state(startGuard.isStopping(), nowMs)));
     if (ready.isEmpty()
         || ready.get().hasTask(run.task())
         || !bounds.allowsStart(ready.get(), nowMs)) {
@@ -112,7 +116,7 @@
    * That a worker fails what it runs, or does not get on, is shown to owners, who may have no
    * better one.
    */
-  private static boolean takesRuns(WorkerState state) {
+  private static boolean acceptsRuns(WorkerState state) {
     return switch (state) {
       case READY, FAILING, SLOW, STALLED -> true;
       case DRAINING, SILENT -> false;
@@ -122,60 +126,60 @@
   /** Tells an owner that a run did not start: no call for it is without an answer. */
   private void refuse(long sessionId, RunRef run, String workerId, RunRefusal reason) {
     String outcome = "run=" + run.number() + " reason=" + reason;
-    outbox.note("runRefused", run.task(), workerId, outcome);
+    outbox.logDecision("runRefused", run.task(), workerId, outcome);
     outbox.send(sessionId, new RunNotStarted(run, reason));
   }
 
-  private void callStart(WorkerLife life, HostedRun run, long nowMs) {
-    run.calledAtMs = nowMs;
-    long deadlineMs = life.grantLease(bounds.latestOverMs(life, nowMs), nowMs);
-    run.startsVoidAtMs = life.leaseOverAtMs();
+  private void callStart(WorkerInstance instance, HostedRun run, long nowMs) {
+    run.lastCallAtMs = nowMs;
+    long deadlineMs = instance.grantLease(bounds.latestEndMs(instance, nowMs), nowMs);
+    run.startCallsExpireAtMs = instance.leaseOverAtMs();
     outbox.add(
-        new HostEffect.CallStart(
-            life.id(),
-            life.info().workerId(),
-            life.info().address(),
+        new HostEffect.StartCall(
+            instance.id(),
+            instance.info().workerId(),
+            instance.info().address(),
             run.run,
             run.spec,
             deadlineMs,
             token.value(),
-            patience(life, run.unansweredCalls, 0)));
+            callOptions(instance, run.unansweredCalls, 0)));
   }
 
   /** Returns when a call counts as lost, given how many in a row were. */
-  static HostEffect.Patience patience(WorkerLife life, int lostInARow, long waitMs) {
-    boolean fresh = lostInARow >= FRESH_CONNECTION_AFTER;
-    return new HostEffect.Patience(waitMs + life.answerTimes.timeoutMs(), fresh);
+  static HostEffect.CallOptions callOptions(WorkerInstance instance, int lostInARow, long waitMs) {
+    boolean fresh = lostInARow >= FRESH_CONNECTION_AFTER_LOST_CALLS;
+    return new HostEffect.CallOptions(waitMs + instance.callTimeout.timeoutMs(), fresh);
   }
 
   /** Takes what became of a start. */
-  void startAnswered(WorkerLife life, HostedRun run, StartAnswer answer, long nowMs) {
+  void startCallCompleted(WorkerInstance instance, HostedRun run, StartResult answer, long nowMs) {
     switch (answer) {
-      case StartAnswer.Started started -> {
-        noteAnswer(life, run, nowMs);
-        life.readClock(started.workerClockMs(), nowMs);
+      case StartResult.Started started -> {
+        recordResponse(instance, run, nowMs);
+        instance.updateClock(started.workerClockMs(), nowMs);
         if (run.state == HostedRun.State.ORDERED) {
           run.state = HostedRun.State.RUNNING;
         }
       }
-      case StartAnswer.Fenced fenced -> {
-        life.readClock(fenced.workerClockMs(), nowMs);
+      case StartResult.Fenced fenced -> {
+        instance.updateClock(fenced.workerClockMs(), nowMs);
         raiseToken();
-        repeatStart(life, run, nowMs);
+        repeatStart(instance, run, nowMs);
       }
-      case StartAnswer.Late late -> {
-        life.readClock(late.workerClockMs(), nowMs);
-        repeatStart(life, run, nowMs);
+      case StartResult.Late late -> {
+        instance.updateClock(late.workerClockMs(), nowMs);
+        repeatStart(instance, run, nowMs);
       }
-      case StartAnswer.Refused refused -> {
-        noteAnswer(life, run, nowMs);
-        startRefused(life, run, refused.reason(), nowMs);
+      case StartResult.Refused refused -> {
+        recordResponse(instance, run, nowMs);
+        startRefused(instance, run, refused.reason(), nowMs);
       }
-      case StartAnswer.Unanswered unanswered -> startUnanswered(life, run, nowMs);
-      case StartAnswer.Gone gone -> endLife(life, "start met another life", nowMs);
-      case StartAnswer.NobodyThere nobody -> {
-        noteRefusedConnection(life, nowMs);
-        startRefused(life, run, RunRefusal.NOT_READY, nowMs);
+      case StartResult.Unanswered unanswered -> startUnanswered(instance, run, nowMs);
+      case StartResult.OtherInstance gone -> endInstance(instance, "start met another life", nowMs);
+      case StartResult.ConnectionRefused nobody -> {
+        recordRefusedConnection(instance, nowMs);
+        startRefused(instance, run, RunRefusal.NOT_READY, nowMs);
       }
     }
   }
@@ -185,22 +189,22 @@
    * carried out, or may yet be, so the run is over only once its number is barred and a list shows
    * what became of it.
    */
-  private void startRefused(WorkerLife life, HostedRun run, RunRefusal reason, long nowMs) {
+  private void startRefused(WorkerInstance instance, HostedRun run, RunRefusal reason, long nowMs) {
     if (run.unansweredStarts == 0) {
-      remove(life, run);
-      refuse(run.sessionId, run.run, life.id(), reason);
+      remove(instance, run);
+      refuse(run.sessionId, run.run, instance.id(), reason);
       return;
     }
     String outcome =
         "run=%d reason=%s unansweredStarts=%d"
             .formatted(run.run.number(), reason, run.unansweredStarts);
-    outbox.note("repeatRefused", run.run.task(), life.id(), outcome);
-    bar(life, run, nowMs);
+    outbox.logDecision("repeatRefused", run.run.task(), instance.id(), outcome);
+    invalidateNumber(instance, run, nowMs);
   }
 
-  private static void noteAnswer(WorkerLife life, HostedRun run, long nowMs) {
+  private static void recordResponse(WorkerInstance instance, HostedRun run, long nowMs) {
     run.unansweredCalls = 0;
-    life.answerTimes.noteAnswer(nowMs - run.calledAtMs);
+    instance.callTimeout.recordResponse(nowMs - run.lastCallAtMs);
   }
 
   /**
@@ -208,19 +212,19 @@
    * comes. So the run starts a moment later, in place of elsewhere after its number was barred. In
    * the end a stop bars the number, so that the order can't be carried out afterwards.
    */
-  private void startUnanswered(WorkerLife life, HostedRun run, long nowMs) {
-    life.answerTimes.noteLoss(nowMs);
+  private void startUnanswered(WorkerInstance instance, HostedRun run, long nowMs) {
+    instance.callTimeout.recordLoss(nowMs);
     run.unansweredCalls++;
     run.unansweredStarts++;
     unansweredStartCount++;
     String outcome =
         "run=%d calls=%d waitedMs=%d"
-            .formatted(run.run.number(), run.unansweredCalls, nowMs - run.calledAtMs);
-    outbox.note("startUnanswered", run.run.task(), life.id(), outcome);
-    if (mayStart(life, run, nowMs) && run.unansweredCalls < MAX_STARTS) {
-      callStart(life, run, nowMs);
+            .formatted(run.run.number(), run.unansweredCalls, nowMs - run.lastCallAtMs);
+    outbox.logDecision("startUnanswered", run.run.task(), instance.id(), outcome);
+    if (mayStart(instance, run, nowMs) && run.unansweredCalls < MAX_STARTS) {
+      callStart(instance, run, nowMs);
     } else {
-      bar(life, run, nowMs);
+      invalidateNumber(instance, run, nowMs);
     }
   }
 
@@ -229,28 +233,28 @@
    * over may have started the task elsewhere, and the zone may have been evacuated. A start renews
    * the lease, which a silent worker's is not to be.
    */
-  private boolean mayStart(WorkerLife life, HostedRun run, long nowMs) {
+  private boolean mayStart(WorkerInstance instance, HostedRun run, long nowMs) {
     return run.state == HostedRun.State.ORDERED
-        && !life.silent
-        && bounds.allowsStart(life, nowMs)
-        && gate.isZoneOpen()
+        && !instance.silent
+        && bounds.allowsStart(instance, nowMs)
+        && startGuard.zoneAllowsStarts()
         && sessions.find(run.sessionId).filter(s -> s.allowsStarts(nowMs)).isPresent();
   }
 
-  private void repeatStart(WorkerLife life, HostedRun run, long nowMs) {
-    if (mayStart(life, run, nowMs)) {
-      callStart(life, run, nowMs);
+  private void repeatStart(WorkerInstance instance, HostedRun run, long nowMs) {
+    if (mayStart(instance, run, nowMs)) {
+      callStart(instance, run, nowMs);
     } else if (run.unansweredStarts > 0) {
-      bar(life, run, nowMs);
+      invalidateNumber(instance, run, nowMs);
     } else {
-      over(life, run, RunEnd.STOPPED);
+      endRun(instance, run, RunEnd.STOPPED);
     }
   }
 
   /** Takes it that a worker has seen a higher token than this host's. */
   void raiseToken() {
     token.raise();
-    outbox.note("tokenRaised", "", hostId, "token=" + token.value());
+    outbox.logDecision("tokenRaised", "", hostId, "token=" + token.value());
   }
 
   /**
@@ -258,12 +262,13 @@
    * over. Its lease is left to end; until then another life may answer at its address, which ends
    * them at once.
    */
-  void noteRefusedConnection(WorkerLife life, long nowMs) {
-    if (!life.refusesConnections) {
-      outbox.note("workerRefusesConnections", "", life.id(), life.beliefs(nowMs));
-      life.refusesConnections = true;
-      life.refusesSinceMs = nowMs;
-      life.silent = true;
+  void recordRefusedConnection(WorkerInstance instance, long nowMs) {
+    if (!instance.refusesConnections) {
+      outbox.logDecision(
+          "workerRefusesConnections", "", instance.id(), instance.describeState(nowMs));
+      instance.refusesConnections = true;
+      instance.refusesSinceMs = nowMs;
+      instance.silent = true;
     }
   }
 
@@ -271,10 +276,10 @@
 
   /** Stops a run on its owner's word. One that is not here is over. */
   void stop(long sessionId, RunRef run, long nowMs) {
-    for (WorkerLife life : lives.all()) {
-      Optional<HostedRun> found = life.find(run);
+    for (WorkerInstance instance : instances.all()) {
+      Optional<HostedRun> found = instance.find(run);
       if (found.isPresent() && found.get().sessionId == sessionId) {
-        stop(life, found.get(), nowMs);
+        stop(instance, found.get(), nowMs);
         return;
       }
     }
@@ -282,50 +287,50 @@
   }
 
   /** Stops a run whose owner is lost or wants it stopped: others may count on its end. */
-  void stop(WorkerLife life, HostedRun run, long nowMs) {
-    run.noteDueOver(bounds.ofStop(nowMs));
-    bar(life, run, nowMs);
+  void stop(WorkerInstance instance, HostedRun run, long nowMs) {
+    run.limitEnd(bounds.stoppedRunEndsByMs(nowMs));
+    invalidateNumber(instance, run, nowMs);
   }
 
   /** Bars the number of a run at its worker, unless that is under way. */
-  private void bar(WorkerLife life, HostedRun run, long nowMs) {
+  private void invalidateNumber(WorkerInstance instance, HostedRun run, long nowMs) {
     if (run.state == HostedRun.State.ORDERED || run.state == HostedRun.State.RUNNING) {
       run.state = HostedRun.State.STOPPING;
-      callStop(life, run, nowMs);
+      callStop(instance, run, nowMs);
     }
   }
 
   /** Orders again the stops of a worker that are not carried out and not on their way. */
-  void repeatStops(WorkerLife life, long nowMs) {
-    for (HostedRun run : life.runs()) {
-      if (run.state == HostedRun.State.STOPPING && !run.stopIsOpen) {
-        callStop(life, run, nowMs);
+  void repeatStops(WorkerInstance instance, long nowMs) {
+    for (HostedRun run : instance.runs()) {
+      if (run.state == HostedRun.State.STOPPING && !run.stopPending) {
+        callStop(instance, run, nowMs);
       }
     }
   }
 
-  private void callStop(WorkerLife life, HostedRun run, long nowMs) {
+  private void callStop(WorkerInstance instance, HostedRun run, long nowMs) {
     run.stopSentAtMs = nowMs;
-    run.calledAtMs = nowMs;
-    run.stopIsOpen = true;
-    sendStop(life, run.run, run.unansweredCalls);
+    run.lastCallAtMs = nowMs;
+    run.stopPending = true;
+    sendStop(instance, run.run, run.unansweredCalls);
   }
 
-  private void sendStop(WorkerLife life, RunRef run, int lostInARow) {
+  private void sendStop(WorkerInstance instance, RunRef run, int lostInARow) {
     outbox.add(
-        new HostEffect.CallStop(
-            life.id(),
-            life.info().workerId(),
-            life.info().address(),
+        new HostEffect.StopCall(
+            instance.id(),
+            instance.info().workerId(),
+            instance.info().address(),
             run,
             token.value(),
-            patience(life, lostInARow, 0)));
+            callOptions(instance, lostInARow, 0)));
   }
 
   /** Stops a run that an earlier life of this host, or a late order, left behind. */
-  void stopStranger(WorkerLife life, RunRef run) {
-    outbox.note("strangerStopped", run.task(), life.id(), "run=" + run.number());
-    sendStop(life, run, 0);
+  void stopUnknownRun(WorkerInstance instance, RunRef run) {
+    outbox.logDecision("strangerStopped", run.task(), instance.id(), "run=" + run.number());
+    sendStop(instance, run, 0);
   }
 
   /**
@@ -333,22 +338,22 @@
    *
    * @param answered whether the worker said that it was carried out
    */
-  void stopAnswered(WorkerLife life, HostedRun run, boolean answered, long nowMs) {
+  void stopCallCompleted(WorkerInstance instance, HostedRun run, boolean answered, long nowMs) {
     if (run.state != HostedRun.State.STOPPING) {
       return;
     }
     if (answered) {
-      noteAnswer(life, run, nowMs);
+      recordResponse(instance, run, nowMs);
       run.state = HostedRun.State.STOPPED;
       run.stopSentAtMs = nowMs;
       return;
     }
-    life.answerTimes.noteLoss(nowMs);
+    instance.callTimeout.recordLoss(nowMs);
     run.unansweredCalls++;
     // A connection that is reset at once would be tried a thousand times a second.
-    run.stopIsOpen = nowMs - run.calledAtMs >= MIN_STOP_PAUSE_MS;
-    if (run.stopIsOpen) {
-      callStop(life, run, nowMs);
+    run.stopPending = nowMs - run.lastCallAtMs >= MIN_STOP_RETRY_MS;
+    if (run.stopPending) {
+      callStop(instance, run, nowMs);
     }
   }
 
@@ -359,28 +364,29 @@
   // Ends.
 
   /** Takes it that a life of a worker is over, and all its runs with it. */
-  void endLife(WorkerLife life, String reason, long nowMs) {
-    lives.remove(life);
-    outbox.note("workerGone", "", life.id(), "reason=" + reason + ' ' + life.beliefs(nowMs));
-    noteCrash(life, nowMs);
-    life.runs().forEach(run -> over(life, run, RunEnd.LOST));
-    outbox.add(new HostEffect.ForgetAddress(life.info().address()));
+  void endInstance(WorkerInstance instance, String reason, long nowMs) {
+    instances.remove(instance);
+    outbox.logDecision(
+        "workerGone", "", instance.id(), "reason=" + reason + ' ' + instance.describeState(nowMs));
+    recordCrash(instance, nowMs);
+    instance.runs().forEach(run -> endRun(instance, run, RunEnd.LOST));
+    outbox.add(new HostEffect.CloseConnections(instance.info().address()));
   }
 
   /** A worker that did not take its leave crashed, perhaps for one of its tasks. */
-  private void noteCrash(WorkerLife life, long nowMs) {
-    if (life.info().draining() || !life.hasRuns()) {
+  private void recordCrash(WorkerInstance instance, long nowMs) {
+    if (instance.info().draining() || !instance.hasRuns()) {
       return;
     }
-    long crashedAtMs = life.refusesConnections ? life.refusesSinceMs : nowMs;
-    WorkerCrashed news = crashes.note(life, crashedAtMs, nowMs);
+    long crashedAtMs = instance.refusesConnections ? instance.refusesSinceMs : nowMs;
+    WorkerCrashed news = crashes.add(instance, crashedAtMs, nowMs);
     String outcome = "again=%s tasks=%d".formatted(news.again(), news.tasks().size());
-    outbox.note("workerCrashed", news.tasks().getFirst(), life.id(), outcome);
+    outbox.logDecision("workerCrashed", news.tasks().getFirst(), instance.id(), outcome);
     outbox.sendToAll(news);
   }
 
   /** Tells an owner of the crashes that it may not have heard of. */
-  void tellCrashes(OwnerSession session, long nowMs) {
+  void sendRecentCrashes(OwnerSession session, long nowMs) {
     crashes.recent(nowMs).forEach(news -> outbox.send(session.id, news));
   }
 
@@ -389,41 +395,41 @@
    * former life is over; an order that had no answer yet may be carried out by the later one, so it
    * is barred there before the task may start elsewhere.
    */
-  void startedAgain(WorkerLife former, WorkerLife later, long nowMs) {
-    lives.remove(former);
-    outbox.note("workerStartedAgain", "", later.id(), "former=" + former.id());
-    noteCrash(former, nowMs);
+  void instanceRestarted(WorkerInstance former, WorkerInstance later, long nowMs) {
+    instances.remove(former);
+    outbox.logDecision("workerStartedAgain", "", later.id(), "former=" + former.id());
+    recordCrash(former, nowMs);
     for (HostedRun run : former.runs()) {
-      if (run.mayComeLate()) {
+      if (run.mayStillStart()) {
         former.remove(run);
         later.add(run);
         run.state = HostedRun.State.STOPPING;
-        run.startsVoidAtMs = nowMs + LATE_CALL_MS;
+        run.startCallsExpireAtMs = nowMs + MAX_CALL_DELAY_MS;
         callStop(later, run, nowMs);
       } else {
-        over(former, run, RunEnd.LOST);
+        endRun(former, run, RunEnd.LOST);
       }
     }
   }
 
   /** Takes it that a run is over without having been of use. */
-  void over(WorkerLife life, HostedRun run, RunEnd how) {
-    over(life, run, how, run.orderedAtMs);
+  void endRun(WorkerInstance instance, HostedRun run, RunEnd end) {
+    endRun(instance, run, end, run.orderedAtMs);
   }
 
   /** Takes it that a run is over, and tells its owner. */
-  void over(WorkerLife life, HostedRun run, RunEnd how, long nowMs) {
-    remove(life, run);
+  void endRun(WorkerInstance instance, HostedRun run, RunEnd end, long nowMs) {
+    remove(instance, run);
     long ranMs = Math.max(0, nowMs - run.orderedAtMs);
     String outcome =
         "run=%d end=%s ms=%d unansweredStarts=%d"
-            .formatted(run.run.number(), how, ranMs, run.unansweredStarts);
-    outbox.note("runOver", run.run.task(), life.id(), outcome);
-    outbox.send(run.sessionId, new RunEnded(run.run, how, ranMs));
+            .formatted(run.run.number(), end, ranMs, run.unansweredStarts);
+    outbox.logDecision("runOver", run.run.task(), instance.id(), outcome);
+    outbox.send(run.sessionId, new RunEnded(run.run, end, ranMs));
   }
 
-  private void remove(WorkerLife life, HostedRun run) {
-    life.remove(run);
+  private void remove(WorkerInstance instance, HostedRun run) {
+    instance.remove(run);
     sessions.find(run.sessionId).ifPresent(session -> session.runCount--);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/StartGate.java
+++ b/core/src/main/java/io/hingehoist/run/host/StartGuard.java
@@ -7,14 +7,14 @@
  * Whether a host may start anything at all: not while it stops, and not in an availability zone
  * that is evacuated or not known not to be. Owned by {@link WorkerHost}.
  */
-final class StartGate {
+final class StartGuard {
   private final String zone;
   private final ZoneKnowledge zones = ZoneKnowledge.create();
-  private boolean zoneIsOpen;
+  private boolean zoneAllowsStarts;
   private boolean stopping;
   private long refusedForZone;
 
-  StartGate(String zone) {
+  StartGuard(String zone) {
     this.zone = zone;
   }
 
@@ -27,31 +27,31 @@
   }
 
   /** Takes word of the evacuated zones; returns whether it is news. */
-  boolean learn(EvacuatedZones heard, long nowMs) {
+  boolean update(EvacuatedZones heard, long nowMs) {
     boolean news = zones.learn(heard, nowMs);
     if (news) {
-      zoneIsOpen = zones.allowsStartsIn(zone);
+      zoneAllowsStarts = zones.allowsStartsIn(zone);
     }
     return news;
   }
 
-  boolean isZoneOpen() {
-    return zoneIsOpen;
+  boolean zoneAllowsStarts() {
+    return zoneAllowsStarts;
   }
 
   boolean isStopping() {
     return stopping;
   }
 
-  void stopTaking() {
+  void stopAcceptingRuns() {
     stopping = true;
   }
 
-  boolean takesNothing() {
-    return stopping || !zoneIsOpen;
+  boolean refusesStarts() {
+    return stopping || !zoneAllowsStarts;
   }
 
-  void noteRefusedForZone() {
+  void countZoneRefusal() {
     refusedForZone++;
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/StartAnswer.java
+++ b/core/src/main/java/io/hingehoist/run/host/StartResult.java
@@ -3,26 +3,26 @@
 import io.hingehoist.message.RunRefusal;
 
 /** What became of an order to a worker. */
-public sealed interface StartAnswer {
+public sealed interface StartResult {
 
   /** The run is there. */
-  record Started(long workerClockMs) implements StartAnswer {}
+  record Started(long workerClockMs) implements StartResult {}
 
   /** The worker did nothing, as the token was lower than one that it has seen. */
-  record Fenced(long workerClockMs) implements StartAnswer {}
+  record Fenced(long workerClockMs) implements StartResult {}
 
   /** The worker did nothing, as the deadline had passed by its clock. */
-  record Late(long workerClockMs) implements StartAnswer {}
+  record Late(long workerClockMs) implements StartResult {}
 
   /** The worker did nothing, and says why. */
-  record Refused(RunRefusal reason) implements StartAnswer {}
+  record Refused(RunRefusal reason) implements StartResult {}
 
   /** Nothing is known: the order may be carried out, now or later. */
-  record Unanswered() implements StartAnswer {}
+  record Unanswered() implements StartResult {}
 
   /** Another life answered: the one that was meant is over. */
-  record Gone() implements StartAnswer {}
+  record OtherInstance() implements StartResult {}
 
   /** The connection was refused, so this call was not carried out. */
-  record NobodyThere() implements StartAnswer {}
+  record ConnectionRefused() implements StartResult {}
 }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
@@ -12,46 +12,48 @@
  * The decisions of a host: whether a run fits its worker, how long workers and owners may go on,
  * and when a run is provably over.
  *
- * <p>This class takes the events and hands each to the part that decides: {@link WorkerRegister}
- * (which workers there are), {@link RunOrders} (starts and stops), {@link WorkerLists} (what runs
- * and has ended), {@link OwnerDesk} (sessions of owners and what they see), {@link RoomSharing}
- * (who gets freed room).
+ * <p>This class takes the events and hands each to the part that decides: {@link InstanceRegistry}
+ * (which workers there are), {@link RunController} (starts and stops), {@link WorkerPoller} (what
+ * runs and has ended), {@link OwnerSessionManager} (sessions of owners and what they see), {@link
+ * FreedRoomAllocator} (who gets freed room).
  *
  * <p>The room of a worker is charged from the order of a run until its end is known, so it is never
  * exceeded. Times are milliseconds of a clock that never goes back. Call a method for each event,
- * then {@link #showRows}, then carry out {@link #takeEffects} in order. Not thread-safe: one thread
- * owns it.
+ * then {@link #publishWorkers}, then carry out {@link #drainEffects} in order. Not thread-safe: one
+ * thread owns it.
  */
 public final class WorkerHost {
-  private final WorkerLives lives = new WorkerLives();
+  private final WorkerInstances instances = new WorkerInstances();
   private final OwnerSessions sessions = new OwnerSessions();
   private final HostOutbox outbox = new HostOutbox(sessions);
-  private final StartGate gate;
-  private final RunOrders orders;
-  private final WorkerLists lists;
-  private final WorkerRegister register;
-  private final OwnerDesk owners;
+  private final StartGuard startGuard;
+  private final RunController runController;
+  private final WorkerPoller poller;
+  private final InstanceRegistry registry;
+  private final OwnerSessionManager owners;
 
   private WorkerHost(
       String hostId, long incarnation, String zone, RunTiming timing, long firstToken, long nowMs) {
     FencingToken token = new FencingToken(firstToken);
-    RoomSharing sharing = new RoomSharing(sessions);
-    this.gate = new StartGate(zone);
+    FreedRoomAllocator roomAllocator = new FreedRoomAllocator(sessions);
+    this.startGuard = new StartGuard(zone);
     LeaseBounds bounds = new LeaseBounds(timing, sessions);
-    this.orders = new RunOrders(hostId, lives, sessions, gate, token, bounds, outbox);
-    this.lists = new WorkerLists(timing, lives, token, bounds, orders, sharing, outbox);
-    this.register = new WorkerRegister(timing, lives, orders, lists, outbox);
+    this.runController =
+        new RunController(hostId, instances, sessions, startGuard, token, bounds, outbox);
+    this.poller =
+        new WorkerPoller(timing, instances, token, bounds, runController, roomAllocator, outbox);
+    this.registry = new InstanceRegistry(timing, instances, runController, poller, outbox);
     this.owners =
-        new OwnerDesk(
+        new OwnerSessionManager(
             hostId,
             incarnation,
             timing,
-            lives,
+            instances,
             sessions,
-            gate,
+            startGuard,
             bounds,
-            orders,
-            sharing,
+            runController,
+            roomAllocator,
             outbox,
             nowMs);
   }
@@ -67,30 +69,32 @@
   }
 
   /** Returns what is to be done since the last call, in order. */
-  public List<HostEffect> takeEffects() {
-    return outbox.take();
+  public List<HostEffect> drainEffects() {
+    return outbox.drain();
   }
 
   // Workers.
 
   /** Takes a worker's account of itself. */
-  public void workerSeen(WorkerInfo info, long nowMs) {
-    register.seen(info, nowMs);
+  public void workerHeartbeat(WorkerInfo info, long nowMs) {
+    registry.heartbeat(info, nowMs);
   }
 
   /** Notes that a worker takes its leave; what runs there is over when it stops answering. */
   public void workerLeaves(String workerId) {
-    register.leaves(workerId);
+    registry.leaves(workerId);
   }
 
   /** Takes what became of a start. */
-  public void startAnswered(String lifeId, RunRef run, StartAnswer answer, long nowMs) {
-    lives
-        .find(lifeId)
+  public void startCallCompleted(String instanceId, RunRef run, StartResult answer, long nowMs) {
+    instances
+        .find(instanceId)
         .ifPresent(
-            life ->
-                life.find(run)
-                    .ifPresent(found -> orders.startAnswered(life, found, answer, nowMs)));
+            instance ->
+                instance
+                    .find(run)
+                    .ifPresent(
+                        found -> runController.startCallCompleted(instance, found, answer, nowMs)));
   }
 
   /**
@@ -98,27 +102,32 @@
    *
    * @param answered whether the worker said that it was carried out
    */
-  public void stopAnswered(String lifeId, RunRef run, boolean answered, long nowMs) {
-    lives
-        .find(lifeId)
+  public void stopCallCompleted(String instanceId, RunRef run, boolean answered, long nowMs) {
+    instances
+        .find(instanceId)
         .ifPresent(
-            life ->
-                life.find(run)
-                    .ifPresent(found -> orders.stopAnswered(life, found, answered, nowMs)));
+            instance ->
+                instance
+                    .find(run)
+                    .ifPresent(
+                        found ->
+                            runController.stopCallCompleted(instance, found, answered, nowMs)));
   }
 
   /** Takes a worker's list of its runs. */
-  public void holdAnswered(String lifeId, HoldAnswer answer, long nowMs) {
-    if (!register.claimAnswered(lifeId, answer, nowMs)) {
-      lives.find(lifeId).ifPresent(life -> lists.answered(life, answer, nowMs));
+  public void pollCallCompleted(String instanceId, PollResult answer, long nowMs) {
+    if (!registry.verificationCompleted(instanceId, answer, nowMs)) {
+      instances
+          .find(instanceId)
+          .ifPresent(instance -> poller.pollCompleted(instance, answer, nowMs));
     }
   }
 
   // Owners.
 
   /** Notes a session of an owner, and tells it when every run of its earlier ones is over. */
-  public void sessionBegan(long sessionId, String ownerId, long nowMs) {
-    owners.began(sessionId, ownerId, nowMs);
+  public void sessionOpened(long sessionId, String ownerId, long nowMs) {
+    owners.open(sessionId, ownerId, nowMs);
   }
 
   /**
@@ -126,33 +135,35 @@
    *
    * @param follows whether the owner is to be shown changes as they come
    */
-  public void ownerBeat(long sessionId, long sentAtMs, boolean follows, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.beat(session, sentAtMs, follows, nowMs));
+  public void ownerHeartbeat(long sessionId, long sentAtMs, boolean follows, long nowMs) {
+    sessions
+        .find(sessionId)
+        .ifPresent(session -> owners.heartbeat(session, sentAtMs, follows, nowMs));
   }
 
   /** Takes an owner's word of what waits there for room. */
-  public void ownerWaiting(long sessionId, OwnerWaiting news, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.waiting(session, news, nowMs));
+  public void updateWaitingTasks(long sessionId, OwnerWaiting news, long nowMs) {
+    sessions.find(sessionId).ifPresent(session -> owners.updateWaitingTasks(session, news, nowMs));
   }
 
   /** Notes that a session goes on on a new connection. */
   public void sessionResumed(long sessionId, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.resumed(session, nowMs));
+    sessions.find(sessionId).ifPresent(session -> owners.resume(session, nowMs));
   }
 
   /** Notes that a session is over and can't go on; the owner's runs are stopped. */
   public void sessionEnded(long sessionId, String reason, long nowMs) {
-    owners.ended(sessionId, reason, nowMs);
+    owners.end(sessionId, reason, nowMs);
   }
 
   /** Starts the runs of an order, as far as they may start. */
   public void startRuns(long sessionId, StartRuns order, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> orders.start(session, order, nowMs));
+    sessions.find(sessionId).ifPresent(session -> runController.start(session, order, nowMs));
   }
 
   /** Stops a run on its owner's word. One that is not here is over. */
   public void stopRun(long sessionId, RunRef run, long nowMs) {
-    orders.stop(sessionId, run, nowMs);
+    runController.stop(sessionId, run, nowMs);
   }
 
   /** Returns whether runs of an open session are not over. */
@@ -170,89 +181,91 @@
    * @param source who told it
    * @return whether it is news, which is to be passed on to every owner
    */
-  public boolean zonesLearned(EvacuatedZones heard, String source, long nowMs) {
-    if (!gate.learn(heard, nowMs)) {
+  public boolean evacuatedZonesReceived(EvacuatedZones heard, String source, long nowMs) {
+    if (!startGuard.update(heard, nowMs)) {
       return false;
     }
     String outcome =
         "version=%d evacuated=%s startsHere=%s runs=%d"
-            .formatted(heard.version(), heard.zones(), gate.isZoneOpen(), runCount());
-    outbox.note("zonesInForce", "", source, outcome);
+            .formatted(heard.version(), heard.zones(), startGuard.zoneAllowsStarts(), runCount());
+    outbox.logDecision("zonesInForce", "", source, outcome);
     return true;
   }
 
   /** Returns what is known of the evacuated availability zones. */
   public ZoneKnowledge zones() {
-    return gate.zones();
+    return startGuard.zones();
   }
 
   /** Returns the number of runs that were refused as the zone is evacuated, or not known not to. */
   public long refusedForZoneCount() {
-    return gate.refusedForZoneCount();
+    return startGuard.refusedForZoneCount();
   }
 
   // Sleep.
 
   /** Notes that this box may have slept: no lease of an owner is believed until it answers. */
   public void mayHaveSlept(long sleptMs, long nowMs) {
-    owners.doubtAll(sleptMs, nowMs);
+    owners.markAllUnverified(sleptMs, nowMs);
   }
 
   /** Takes an owner's proof that a session goes on. */
   public void sessionProven(long sessionId, long number, long sentAtMs, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.proven(session, number, sentAtMs, nowMs));
+    sessions
+        .find(sessionId)
+        .ifPresent(session -> owners.proofReceived(session, number, sentAtMs, nowMs));
   }
 
   /** Proves to an owner that its session goes on, if it does. */
   public void sessionProbed(long sessionId, long number, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.probed(session, number, nowMs));
+    sessions.find(sessionId).ifPresent(session -> owners.probeReceived(session, number, nowMs));
   }
 
   // Time and rows.
 
   /** Does what the time has made due. */
   public void onTick(long nowMs) {
-    owners.closeOver(nowMs);
-    for (WorkerLife life : lives.all()) {
-      lists.endRunsOfLost(life, nowMs);
-      orders.repeatStops(life, nowMs);
-      lists.askIfDue(life, nowMs);
+    owners.closeExpired(nowMs);
+    for (WorkerInstance instance : instances.all()) {
+      poller.endRunsAfterLease(instance, nowMs);
+      runController.repeatStops(instance, nowMs);
+      poller.pollIfDue(instance, nowMs);
     }
-    owners.tellOfFormerRuns(nowMs);
+    owners.notifyFormerRunsOver(nowMs);
   }
 
   /** Shows the workers to owners, as far as something has changed for them. */
-  public void showRows(long nowMs) {
-    owners.showAll(nowMs);
+  public void publishWorkers(long nowMs) {
+    owners.publishWorkers(nowMs);
   }
 
   /** Takes no further runs; those that are here go on to their ends. */
-  public void stopTaking() {
-    gate.stopTaking();
+  public void stopAcceptingRuns() {
+    startGuard.stopAcceptingRuns();
   }
 
   /** Returns whether nothing runs here. */
   public boolean isIdle() {
-    return lives.isIdle();
+    return instances.isIdle();
   }
 
   /** Returns the number of runs that are not over. */
   public int runCount() {
-    return lives.runCount();
+    return instances.runCount();
   }
 
   /** Returns the number of start calls that had no answer. */
   public long unansweredStartCount() {
-    return orders.unansweredStartCount();
+    return runController.unansweredStartCount();
   }
 
   /** Returns the number of ends that workers listed of runs that were not known here. */
   public long unknownEndCount() {
-    return lists.unknownEndCount();
+    return poller.unknownEndCount();
   }
 
   /** Returns the number of workers. */
   public int workerCount() {
-    return lives.size();
+    return instances.size();
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerInfo.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInfo.java
@@ -10,7 +10,8 @@
  * @param address where it takes orders
  * @param version rises with each account, so that one that overtakes another is known
  * @param clockMs the worker's own clock when it said so
- * @param bornMs when this life began, in milliseconds since 1970; 0 where workers don't tell
+ * @param startedAtEpochMs when this life began, in milliseconds since 1970; 0 where workers don't
+ *     tell
  */
 public record WorkerInfo(
     String workerId,
@@ -22,7 +23,7 @@
     List<String> labels,
     long version,
     long clockMs,
-    long bornMs) {
+    long startedAtEpochMs) {
 
   /** Copies the list. */
   public WorkerInfo {
@@ -44,21 +45,30 @@
   }
 
   /** Returns the name of this life, which no other life of any worker has. */
-  public String lifeId() {
-    return bornMs == 0 ? workerId : workerId + '@' + bornMs;
+  public String instanceId() {
+    return startedAtEpochMs == 0 ? workerId : workerId + '@' + startedAtEpochMs;
   }
 
   /** Returns this account as that of a worker that is leaving. */
   WorkerInfo asDraining() {
     return new WorkerInfo(
-        workerId, service, address, zone, true, capacity, labels, version, clockMs, bornMs);
+        workerId,
+        service,
+        address,
+        zone,
+        true,
+        capacity,
+        labels,
+        version,
+        clockMs,
+        startedAtEpochMs);
   }
 
   /**
    * Returns the first account of a later life of the same worker, of which nothing else is known.
    */
-  WorkerInfo asBornAgain(long laterBornMs) {
+  WorkerInfo asRestarted(long laterStartedAtEpochMs) {
     return new WorkerInfo(
-        workerId, service, address, zone, false, capacity, labels, 0, 0, laterBornMs);
+        workerId, service, address, zone, false, capacity, labels, 0, 0, laterStartedAtEpochMs);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerLife.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
@@ -15,15 +15,15 @@
 /**
  * One life of a worker: its room, its runs, its lease and its clock. Owned by {@link WorkerHost}.
  */
-final class WorkerLife {
-  private static final double SLOWEST_CLOCK = 0.98;
-  private static final long TRIAL_DIVISOR = 5;
-
-  final FailureWatch failures = new FailureWatch();
-  final ProgressWatch progress = new ProgressWatch();
-  final PaceMeter pace = new PaceMeter();
-  final RoomOffers offers = new RoomOffers();
-  final AnswerTimes answerTimes = new AnswerTimes();
+final class WorkerInstance {
+  private static final double MIN_CLOCK_RATE = 0.98;
+  private static final long TRIAL_ROOM_DIVISOR = 5;
+
+  final FailureBackoff failures = new FailureBackoff();
+  final ProgressMonitor progress = new ProgressMonitor();
+  final PaceEstimator pace = new PaceEstimator();
+  final RoomReservations reservations = new RoomReservations();
+  final AdaptiveTimeout callTimeout = new AdaptiveTimeout();
   private final RunTiming timing;
   private final Map<RunRef, HostedRun> runs = new LinkedHashMap<>();
   private WorkerInfo info;
@@ -40,17 +40,17 @@
   long refusesSinceMs;
 
   /** Whether runs may be there that this host did not order: no room is given out meanwhile. */
-  boolean hasStrangers = true;
+  boolean hasUnknownRuns = true;
 
   /** Whether a list of this life has come. */
-  boolean listed;
+  boolean polled;
 
-  boolean holdOpen;
-  long holdSentAtMs;
-  long holdDueAtMs;
-  int lostHolds;
+  boolean pollPending;
+  long pollSentAtMs;
+  long nextPollAtMs;
+  int lostPolls;
 
-  WorkerLife(WorkerInfo info, RunTiming timing, long nowMs) {
+  WorkerInstance(WorkerInfo info, RunTiming timing, long nowMs) {
     this.info = info;
     this.timing = timing;
     this.clockMs = info.clockMs();
@@ -63,17 +63,17 @@
 
   /** Returns the name of this life, by which owners order runs as well. */
   String id() {
-    return info.lifeId();
+    return info.instanceId();
   }
 
   /** Returns when this life began; 0 where workers don't tell. */
-  long bornMs() {
-    return info.bornMs();
+  long startedAtEpochMs() {
+    return info.startedAtEpochMs();
   }
 
   /** Returns whether an account may be of this life, which keeps its service and its address. */
-  boolean isSameAs(WorkerInfo account) {
-    return account.service().equals(info.service()) && account.address().equals(info.address());
+  boolean hasSameEndpoint(WorkerInfo heartbeat) {
+    return heartbeat.service().equals(info.service()) && heartbeat.address().equals(info.address());
   }
 
   /** Takes a newer account; returns whether it shows something else. */
@@ -90,14 +90,14 @@
 
   // The worker's clock and lease.
 
-  void readClock(long workerClockMs, long nowMs) {
-    clockMs = Math.max(workerClockMs, clockAt(nowMs));
+  void updateClock(long workerClockMs, long nowMs) {
+    clockMs = Math.max(workerClockMs, minClockMs(nowMs));
     clockReadAtMs = nowMs;
   }
 
   /** Returns a time that the worker's clock has reached for sure. */
-  private long clockAt(long nowMs) {
-    return clockMs + (long) ((nowMs - clockReadAtMs) * SLOWEST_CLOCK);
+  private long minClockMs(long nowMs) {
+    return clockMs + (long) ((nowMs - clockReadAtMs) * MIN_CLOCK_RATE);
   }
 
   /**
@@ -109,7 +109,7 @@
    */
   long grantLease(long overAtMs, long nowMs) {
     leaseOverAtMs = Math.max(leaseOverAtMs, overAtMs);
-    return clockAt(nowMs) + timing.workerLeaseOverAfterMs(leaseOverAtMs - nowMs);
+    return minClockMs(nowMs) + timing.workerLeaseOverAfterMs(leaseOverAtMs - nowMs);
   }
 
   boolean isLeaseOver(long nowMs) {
@@ -122,10 +122,10 @@
   }
 
   /** Returns, for the log, what is believed of this life. */
-  String beliefs(long nowMs) {
+  String describeState(long nowMs) {
     long unanswered = runs.values().stream().filter(run -> run.unansweredStarts > 0).count();
     return "runs=%d withUnansweredStarts=%d leaseLeftMs=%d lostHolds=%d"
-        .formatted(runs.size(), unanswered, Math.max(0, leaseOverAtMs - nowMs), lostHolds);
+        .formatted(runs.size(), unanswered, Math.max(0, leaseOverAtMs - nowMs), lostPolls);
   }
 
   // Runs and room.
@@ -136,7 +136,9 @@
     if (failures.isOnTrial() || progress.isOnTrial()) {
       capacity =
           new Room(
-              capacity.cpuMilli() / TRIAL_DIVISOR, capacity.memoryMb(), capacity.accelerators());
+              capacity.cpuMilli() / TRIAL_ROOM_DIVISOR,
+              capacity.memoryMb(),
+              capacity.accelerators());
     }
     return Rooms.minus(capacity, used);
   }
@@ -150,7 +152,7 @@
     if (!hasRuns()) {
       return free();
     }
-    return Rooms.minus(free(), offers.keptFromOthers(sessionId, nowMs));
+    return Rooms.minus(free(), reservations.reservedForOthers(sessionId, nowMs));
   }
 
   /** Returns whether there is hardly room for a run with such a need. */
@@ -160,10 +162,10 @@
   }
 
   /** Notes a run that ended well. */
-  void noteDone(HostedRun run, long nowMs) {
-    progress.noteDone(run, nowMs);
-    if (progress.pace(nowMs) == ProgressWatch.Pace.USUAL && !progress.isOnTrial()) {
-      pace.noteDone(nowMs - run.orderedAtMs, run.estimateMs);
+  void recordSuccess(HostedRun run, long nowMs) {
+    progress.recordSuccess(run, nowMs);
+    if (progress.pace(nowMs) == ProgressMonitor.Pace.USUAL && !progress.isOnTrial()) {
+      pace.recordSuccess(nowMs - run.orderedAtMs, run.estimateMs);
     }
   }
 
@@ -196,7 +198,7 @@
     return !runs.isEmpty();
   }
 
-  WorkerRow toRow(Room free, boolean hostTakesNothing, long nowMs) {
+  WorkerRow toRow(Room free, boolean hostRefusesStarts, long nowMs) {
     return new WorkerRow(
         id(),
         info.service(),
@@ -204,15 +206,15 @@
         info.labels(),
         info.capacity(),
         free,
-        state(hostTakesNothing, nowMs),
+        state(hostRefusesStarts, nowMs),
         pace.percent());
   }
 
-  WorkerState state(boolean hostTakesNothing, long nowMs) {
-    if (hostTakesNothing || info.draining()) {
+  WorkerState state(boolean hostRefusesStarts, long nowMs) {
+    if (hostRefusesStarts || info.draining()) {
       return WorkerState.DRAINING;
     }
-    if (silent || hasStrangers) {
+    if (silent || hasUnknownRuns) {
       return WorkerState.SILENT;
     }
     if (failures.isFailing(nowMs)) {
--- a/core/src/test/java/io/hingehoist/run/PlayedLoad.java
+++ b/core/src/test/java/io/hingehoist/run/PlayedLoad.java
@@ -11,12 +11,12 @@
 import io.hingehoist.message.SessionOpened;
 import io.hingehoist.message.StartRuns;
 import io.hingehoist.message.StopRun;
-import io.hingehoist.run.host.HoldAnswer;
 import io.hingehoist.run.host.HostEffect;
-import io.hingehoist.run.host.KnownZones;
-import io.hingehoist.run.host.StartAnswer;
+import io.hingehoist.run.host.PollResult;
+import io.hingehoist.run.host.StartResult;
 import io.hingehoist.run.host.WorkerHost;
 import io.hingehoist.run.host.WorkerInfo;
+import io.hingehoist.run.host.ZoneFixtures;
 import io.hingehoist.run.load.Reservation;
 import io.hingehoist.run.owner.JobOwner;
 import io.hingehoist.run.owner.OwnerEffect;
@@ -180,20 +180,21 @@
     private final WorkerHost decisions;
     private final Room capacity;
     private final Map<RunRef, Long> runs = new LinkedHashMap<>();
-    private final List<HoldAnswer.Ended> ended = new ArrayList<>();
+    private final List<PollResult.Ended> ended = new ArrayList<>();
     private final Trouble trouble;
     private final double speed;
     private final Map<Integer, OpenRuns> openRuns = new HashMap<>();
     private final Map<Integer, Long> beatAtMs = new HashMap<>();
-    private Optional<HostEffect.CallHold> openHold = Optional.empty();
+    private Optional<HostEffect.PollCall> openHold = Optional.empty();
 
     private Host(String id, Room capacity, Trouble trouble, double speed) {
       this.speed = speed;
       this.id = id;
       this.trouble = trouble;
       this.capacity = capacity;
-      this.decisions = KnownZones.none(WorkerHost.create(id, 1, "z", TIMING, 1, -10_000));
-      decisions.workerSeen(
+      this.decisions =
+          ZoneFixtures.noneEvacuated(WorkerHost.create(id, 1, "z", TIMING, 1, -10_000));
+      decisions.workerHeartbeat(
           new WorkerInfo(id + "-w", "s", id, "z", false, capacity, List.of("a"), 1, 1), nowMs);
     }
 
@@ -203,7 +204,7 @@
       }
       openRuns(owner).note(message);
       switch (message) {
-        case OwnerWaiting news -> decisions.ownerWaiting(owner, news, nowMs);
+        case OwnerWaiting news -> decisions.updateWaitingTasks(owner, news, nowMs);
         case StartRuns order -> {
           orders++;
           decisions.startRuns(owner, order, nowMs);
@@ -228,7 +229,7 @@
     private void beat(int owner) {
       beats++;
       beatAtMs.put(owner, nowMs);
-      decisions.ownerBeat(owner, nowMs, owners.get(owner).follows(id), nowMs);
+      decisions.ownerHeartbeat(owner, nowMs, owners.get(owner).follows(id), nowMs);
     }
 
     private OpenRuns openRuns(int owner) {
@@ -242,23 +243,23 @@
     }
 
     private void settle() {
-      decisions.showRows(nowMs);
-      decisions.takeEffects().forEach(this::carryOut);
+      decisions.publishWorkers(nowMs);
+      decisions.drainEffects().forEach(this::carryOut);
     }
 
     private void carryOut(HostEffect effect) {
       switch (effect) {
-        case HostEffect.CallStart call -> after(WORKER_MS, () -> start(call));
-        case HostEffect.CallHold call -> after(WORKER_MS, () -> hold(call));
-        case HostEffect.ToOwner to -> after(LINK_MS, () -> arrive((int) to.sessionId(), to));
-        case HostEffect.CallStop call -> after(WORKER_MS, () -> stop(call));
+        case HostEffect.StartCall call -> after(WORKER_MS, () -> start(call));
+        case HostEffect.PollCall call -> after(WORKER_MS, () -> hold(call));
+        case HostEffect.SendToOwner to -> after(LINK_MS, () -> arrive((int) to.sessionId(), to));
+        case HostEffect.StopCall call -> after(WORKER_MS, () -> stop(call));
         case HostEffect.CloseSession close -> throw new IllegalStateException("lease over");
-        case HostEffect.ForgetAddress forget -> {}
-        case HostEffect.Noted noted -> {}
+        case HostEffect.CloseConnections forget -> {}
+        case HostEffect.LogDecision noted -> {}
       }
     }
 
-    private void arrive(int owner, HostEffect.ToOwner to) {
+    private void arrive(int owner, HostEffect.SendToOwner to) {
       JobOwner jobs = owners.get(owner);
       openRuns(owner).note(to.message());
       switch (to.message()) {
@@ -278,9 +279,9 @@
       PlayedLoad.this.settle(owner);
     }
 
-    private void start(HostEffect.CallStart call) {
+    private void start(HostEffect.StartCall call) {
       runs.put(call.run(), nowMs);
-      decisions.startAnswered(id + "-w", call.run(), new StartAnswer.Started(nowMs), nowMs);
+      decisions.startCallCompleted(id + "-w", call.run(), new StartResult.Started(nowMs), nowMs);
       long runMs = Math.max(1, (long) (workMs.get(call.run().task()) / speed));
       at(trouble.endsAtMs(nowMs, runMs), () -> end(call.run(), RunEnd.DONE));
       settle();
@@ -291,20 +292,20 @@
       return trouble.speed() > 0 && usedMilli + cpuMilli <= capacity.cpuMilli();
     }
 
-    private void stop(HostEffect.CallStop call) {
-      decisions.stopAnswered(id + "-w", call.run(), true, nowMs);
+    private void stop(HostEffect.StopCall call) {
+      decisions.stopCallCompleted(id + "-w", call.run(), true, nowMs);
       end(call.run(), RunEnd.STOPPED);
       settle();
     }
 
     private void end(RunRef run, RunEnd how) {
       if (runs.remove(run) != null) {
-        ended.add(new HoldAnswer.Ended(ended.size() + 1, run, how));
+        ended.add(new PollResult.Ended(ended.size() + 1, run, how));
         openHold.ifPresent(this::answer);
       }
     }
 
-    private void hold(HostEffect.CallHold call) {
+    private void hold(HostEffect.PollCall call) {
       openHold = Optional.of(call);
       if (call.lastSeen() < ended.size()) {
         answer(call);
@@ -313,25 +314,25 @@
       }
     }
 
-    private List<HoldAnswer.Running> running() {
-      List<HoldAnswer.Running> rows = new ArrayList<>();
+    private List<PollResult.Running> running() {
+      List<PollResult.Running> rows = new ArrayList<>();
       runs.forEach(
           (run, beganAtMs) -> {
             double workedMs = speed * trouble.workedMs(beganAtMs, nowMs);
             double share = workedMs / Math.max(1, workMs.get(run.task()));
-            rows.add(new HoldAnswer.Running(run, (int) Math.min(99, 100 * share)));
+            rows.add(new PollResult.Running(run, (int) Math.min(99, 100 * share)));
           });
       return rows;
     }
 
-    private void answer(HostEffect.CallHold call) {
+    private void answer(HostEffect.PollCall call) {
       openHold = Optional.empty();
-      List<HoldAnswer.Ended> news = List.copyOf(ended.subList((int) call.lastSeen(), ended.size()));
-      HoldAnswer answer = new HoldAnswer.Listed(nowMs, running(), news);
+      List<PollResult.Ended> news = List.copyOf(ended.subList((int) call.lastSeen(), ended.size()));
+      PollResult answer = new PollResult.Listed(nowMs, running(), news);
       after(
           WORKER_MS,
           () -> {
-            decisions.holdAnswered(id + "-w", answer, nowMs);
+            decisions.pollCallCompleted(id + "-w", answer, nowMs);
             settle();
           });
     }
@@ -573,7 +574,7 @@
   private void run(double loadFactor, long lengthMs) {
     for (Host host : hosts.values()) {
       for (int owner = 0; owner < owners.size(); owner++) {
-        host.decisions.sessionBegan(owner, "o" + owner, nowMs);
+        host.decisions.sessionOpened(owner, "o" + owner, nowMs);
       }
       host.beat();
       host.tick();
--- a/core/src/test/java/io/hingehoist/run/PlayedRuns.java
+++ b/core/src/test/java/io/hingehoist/run/PlayedRuns.java
@@ -16,11 +16,11 @@
 import io.hingehoist.message.StartRuns;
 import io.hingehoist.message.StopRun;
 import io.hingehoist.message.WorkerCrashed;
-import io.hingehoist.run.host.HoldAnswer;
 import io.hingehoist.run.host.HostEffect;
-import io.hingehoist.run.host.KnownZones;
-import io.hingehoist.run.host.StartAnswer;
+import io.hingehoist.run.host.PollResult;
+import io.hingehoist.run.host.StartResult;
 import io.hingehoist.run.host.WorkerHost;
+import io.hingehoist.run.host.ZoneFixtures;
 import io.hingehoist.run.owner.JobOwner;
 import io.hingehoist.run.owner.OwnerEffect;
 import java.util.ArrayList;
@@ -118,7 +118,9 @@
     }
 
     void restart() {
-      host = KnownZones.none(WorkerHost.create(id, nowMs, "z", TIMING, 1_000 + nowMs, nowMs));
+      host =
+          ZoneFixtures.noneEvacuated(
+              WorkerHost.create(id, nowMs, "z", TIMING, 1_000 + nowMs, nowMs));
       sessions.values().forEach(session -> session.breakNow());
       sessions.clear();
     }
@@ -128,8 +130,8 @@
     }
 
     void settle() {
-      host.showRows(nowMs);
-      for (HostEffect effect : host.takeEffects()) {
+      host.publishWorkers(nowMs);
+      for (HostEffect effect : host.drainEffects()) {
         carryOut(effect);
       }
     }
@@ -137,19 +139,19 @@
     private void carryOut(HostEffect effect) {
       WorkerHost caller = host;
       switch (effect) {
-        case HostEffect.CallStart call ->
+        case HostEffect.StartCall call ->
             callWorker(
                 call.workerId(),
-                call.patience(),
+                call.options(),
                 w -> start(w, call),
-                new StartAnswer.Unanswered(),
-                new StartAnswer.Gone(),
-                new StartAnswer.NobodyThere(),
-                a -> caller.startAnswered(call.workerId(), call.run(), a, nowMs));
-        case HostEffect.CallStop call ->
+                new StartResult.Unanswered(),
+                new StartResult.OtherInstance(),
+                new StartResult.ConnectionRefused(),
+                a -> caller.startCallCompleted(call.workerId(), call.run(), a, nowMs));
+        case HostEffect.StopCall call ->
             callWorker(
                 call.workerId(),
-                call.patience(),
+                call.options(),
                 w -> {
                   w.stop(call.run(), call.token(), nowMs);
                   return true;
@@ -157,9 +159,9 @@
                 false,
                 false,
                 false,
-                a -> caller.stopAnswered(call.workerId(), call.run(), a, nowMs));
-        case HostEffect.CallHold call -> hold(caller, call, nowMs + call.waitMs());
-        case HostEffect.ToOwner to -> {
+                a -> caller.stopCallCompleted(call.workerId(), call.run(), a, nowMs));
+        case HostEffect.PollCall call -> hold(caller, call, nowMs + call.waitMs());
+        case HostEffect.SendToOwner to -> {
           Session session = sessions.get(to.sessionId());
           if (session != null) {
             session.toOwner(to.message());
@@ -171,12 +173,12 @@
             session.closedByHost();
           }
         }
-        case HostEffect.ForgetAddress forget -> {}
-        case HostEffect.Noted noted -> trace.add(nowMs + " " + id + " " + noted.decision());
+        case HostEffect.CloseConnections forget -> {}
+        case HostEffect.LogDecision noted -> trace.add(nowMs + " " + id + " " + noted.decision());
       }
     }
 
-    private void hold(WorkerHost caller, HostEffect.CallHold call, long untilMs) {
+    private void hold(WorkerHost caller, HostEffect.PollCall call, long untilMs) {
       boolean waits =
           worker.up
               && worker.id.equals(call.workerId())
@@ -191,24 +193,24 @@
       }
       callWorker(
           call.workerId(),
-          call.patience(),
+          call.options(),
           w -> w.hold(call.deadlineMs(), call.token(), call.lastSeen(), nowMs),
-          new HoldAnswer.Unanswered(),
-          new HoldAnswer.Gone(),
-          new HoldAnswer.NobodyThere(),
-          a -> caller.holdAnswered(call.workerId(), a, nowMs));
+          new PollResult.Unanswered(),
+          new PollResult.OtherInstance(),
+          new PollResult.ConnectionRefused(),
+          a -> caller.pollCallCompleted(call.workerId(), a, nowMs));
     }
 
-    private StartAnswer start(StandInWorker target, HostEffect.CallStart call) {
+    private StartResult start(StandInWorker target, HostEffect.StartCall call) {
       if (nowMs < shedsUntilMs && slowness.nextBoolean()) {
-        return new StartAnswer.Refused(RunRefusal.UNHEALTHY);
+        return new StartResult.Refused(RunRefusal.UNHEALTHY);
       }
       return target.start(call.run(), NEED, runMs(), call.deadlineMs(), call.token(), nowMs);
     }
 
     private <A> void callWorker(
         String workerId,
-        HostEffect.Patience patience,
+        HostEffect.CallOptions options,
         java.util.function.Function<StandInWorker, A> call,
         A unanswered,
         A gone,
@@ -233,7 +235,7 @@
             });
         reply(caller, 150, () -> answer.accept(unanswered));
       } else if (nowMs < slowUntilMs && slowness.nextBoolean()) {
-        callSlowly(target, patience, call, unanswered, answer);
+        callSlowly(target, options, call, unanswered, answer);
       } else {
         A result = call.apply(target);
         reply(caller, 1 + random.nextInt(3), () -> answer.accept(result));
@@ -243,13 +245,13 @@
     /** The call is carried out in any case, and answered if its host still waits by then. */
     private <A> void callSlowly(
         StandInWorker target,
-        HostEffect.Patience patience,
+        HostEffect.CallOptions options,
         java.util.function.Function<StandInWorker, A> call,
         A unanswered,
         java.util.function.Consumer<A> answer) {
       WorkerHost caller = host;
       long delayMs = LEAST_SLOW_MS + slowness.nextInt(SLOW_SPREAD_MS);
-      boolean awaited = delayMs < patience.timeoutMs();
+      boolean awaited = delayMs < options.timeoutMs();
       after(
           delayMs,
           () -> {
@@ -260,7 +262,7 @@
             }
           });
       if (!awaited) {
-        reply(caller, patience.timeoutMs(), () -> answer.accept(unanswered));
+        reply(caller, options.timeoutMs(), () -> answer.accept(unanswered));
       }
     }
 
@@ -377,8 +379,8 @@
       hostStream.noteReceived(message).ifPresent(this::carryToOwner);
       switch (message) {
         case SessionAck ack -> hostStream.acknowledged(ack.receivedCount());
-        case OwnerBeat beat -> host.ownerBeat(id, beat.sentAtMs(), beat.follows(), nowMs);
-        case OwnerWaiting news -> host.ownerWaiting(id, news, nowMs);
+        case OwnerBeat beat -> host.ownerHeartbeat(id, beat.sentAtMs(), beat.follows(), nowMs);
+        case OwnerWaiting news -> host.updateWaitingTasks(id, news, nowMs);
         case StartRuns order -> host.startRuns(id, order, nowMs);
         case StopRun order -> host.stopRun(id, order.run(), nowMs);
         case SessionProof proof -> host.sessionProven(id, proof.number(), proof.sentAtMs(), nowMs);
@@ -790,7 +792,7 @@
 
   private void tick(HostBox box) {
     if (box.worker.up && nowMs % 500 == 1) {
-      box.host.workerSeen(box.worker.info(false, ++box.version, nowMs), nowMs);
+      box.host.workerHeartbeat(box.worker.info(false, ++box.version, nowMs), nowMs);
     }
     for (OwnerBox owner : owners) {
       boolean cut = cuts.getOrDefault(owner.id + box.id, 0L) > nowMs;
@@ -812,7 +814,7 @@
     }
     owner.sessions.put(box.id, session);
     box.sessions.put(session.id, session);
-    box.host.sessionBegan(session.id, owner.id, nowMs);
+    box.host.sessionOpened(session.id, owner.id, nowMs);
     // An owner beats at once when a session begins.
     session.toHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
   }
--- a/core/src/test/java/io/hingehoist/run/StandInWorker.java
+++ b/core/src/test/java/io/hingehoist/run/StandInWorker.java
@@ -4,8 +4,8 @@
 import io.hingehoist.message.RunEnd;
 import io.hingehoist.message.RunRef;
 import io.hingehoist.message.RunRefusal;
-import io.hingehoist.run.host.HoldAnswer;
-import io.hingehoist.run.host.StartAnswer;
+import io.hingehoist.run.host.PollResult;
+import io.hingehoist.run.host.StartResult;
 import io.hingehoist.run.host.WorkerInfo;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -45,7 +45,7 @@
   final String address;
   final Map<RunRef, Run> runs = new LinkedHashMap<>();
   private final Map<String, Long> barred = new HashMap<>();
-  private final List<HoldAnswer.Ended> ended = new ArrayList<>();
+  private final List<PollResult.Ended> ended = new ArrayList<>();
   private long token;
   private long deadlineMs;
   private long endNumber;
@@ -66,24 +66,24 @@
         id, "s", address, "z", draining, CAPACITY, List.of("a"), version, clockMs(nowMs));
   }
 
-  StartAnswer start(RunRef ref, Room need, long runMs, long deadline, long callToken, long nowMs) {
+  StartResult start(RunRef ref, Room need, long runMs, long deadline, long callToken, long nowMs) {
     tick(nowMs);
     if (callToken < token) {
-      return new StartAnswer.Fenced(clockMs(nowMs));
+      return new StartResult.Fenced(clockMs(nowMs));
     }
     token = callToken;
     if (runs.containsKey(ref)) {
-      return new StartAnswer.Started(clockMs(nowMs));
+      return new StartResult.Started(clockMs(nowMs));
     }
     extend(deadline, nowMs);
     if (ref.number() <= barred.getOrDefault(ref.task(), 0L)) {
-      return new StartAnswer.Refused(RunRefusal.OLD_NUMBER);
+      return new StartResult.Refused(RunRefusal.OLD_NUMBER);
     }
     if (deadline <= clockMs(nowMs)) {
-      return new StartAnswer.Late(clockMs(nowMs));
+      return new StartResult.Late(clockMs(nowMs));
     }
     runs.put(ref, new Run(ref, need, nowMs + runMs, failsAll));
-    return new StartAnswer.Started(clockMs(nowMs));
+    return new StartResult.Started(clockMs(nowMs));
   }
 
   void stop(RunRef ref, long callToken, long nowMs) {
@@ -98,19 +98,19 @@
     }
   }
 
-  HoldAnswer hold(long deadline, long callToken, long lastSeen, long nowMs) {
+  PollResult hold(long deadline, long callToken, long lastSeen, long nowMs) {
     tick(nowMs);
     if (callToken < token) {
-      return new HoldAnswer.Fenced(clockMs(nowMs));
+      return new PollResult.Fenced(clockMs(nowMs));
     }
     token = callToken;
     extend(deadline, nowMs);
     ended.removeIf(end -> end.number() <= lastSeen);
-    List<HoldAnswer.Running> running =
+    List<PollResult.Running> running =
         runs.values().stream()
-            .map(run -> new HoldAnswer.Running(run.ref, run.percent(nowMs)))
+            .map(run -> new PollResult.Running(run.ref, run.percent(nowMs)))
             .toList();
-    return new HoldAnswer.Listed(clockMs(nowMs), running, List.copyOf(ended));
+    return new PollResult.Listed(clockMs(nowMs), running, List.copyOf(ended));
   }
 
   private void extend(long deadline, long nowMs) {
@@ -120,7 +120,7 @@
   private void end(RunRef ref, RunEnd how) {
     runs.remove(ref);
     barred.merge(ref.task(), ref.number(), Math::max);
-    ended.add(new HoldAnswer.Ended(++endNumber, ref, how));
+    ended.add(new PollResult.Ended(++endNumber, ref, how));
   }
 
   void tick(long nowMs) {
--- a/core/src/test/java/io/hingehoist/run/host/AnswerTimesTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/AdaptiveTimeoutTest.java
@@ -5,40 +5,40 @@
 
 import org.testng.annotations.Test;
 
-public final class AnswerTimesTest {
+public final class AdaptiveTimeoutTest {
   @Test
   public void quickAnswersMakeItShort() {
-    AnswerTimes times = new AnswerTimes();
-    long firstMs = times.timeoutMs();
+    AdaptiveTimeout times = new AdaptiveTimeout();
+    long initialMs = times.timeoutMs();
     for (int i = 0; i < 50; i++) {
-      times.noteAnswer(1 + i % 2);
+      times.recordResponse(1 + i % 2);
     }
-    assertTrue(times.timeoutMs() < firstMs);
+    assertTrue(times.timeoutMs() < initialMs);
     assertEquals(times.timeoutMs(), 20);
   }
 
   @Test
   public void slowAnswersMakeItLongWithABound() {
-    AnswerTimes times = new AnswerTimes();
+    AdaptiveTimeout times = new AdaptiveTimeout();
     for (int i = 0; i < 50; i++) {
-      times.noteAnswer(i % 2 == 0 ? 20 : 40);
+      times.recordResponse(i % 2 == 0 ? 20 : 40);
     }
     assertTrue(times.timeoutMs() > 40);
     for (int i = 0; i < 50; i++) {
-      times.noteAnswer(5_000);
+      times.recordResponse(5_000);
     }
     assertEquals(times.timeoutMs(), 120);
   }
 
   @Test
   public void lossesDoubleItUntilTheNextAnswer() {
-    AnswerTimes times = new AnswerTimes();
-    times.noteAnswer(1);
-    times.noteLoss(0);
+    AdaptiveTimeout times = new AdaptiveTimeout();
+    times.recordResponse(1);
+    times.recordLoss(0);
     assertEquals(times.timeoutMs(), 40);
-    times.noteLoss(0);
+    times.recordLoss(0);
     assertEquals(times.timeoutMs(), 80);
-    times.noteAnswer(1);
+    times.recordResponse(1);
     assertEquals(times.timeoutMs(), 20);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/HostFixture.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostFixture.java
@@ -27,7 +27,7 @@
   static HostFixture startedBefore(long nowMs) {
     long startedAtMs = nowMs - TIMING.workerOverAfterMs();
     return new HostFixture(
-        KnownZones.none(WorkerHost.create("h", 1, "z", TIMING, 100, startedAtMs)));
+        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 1, "z", TIMING, 100, startedAtMs)));
   }
 
   /** Returns an account of a worker that is ready and tells no birth. */
@@ -36,43 +36,43 @@
   }
 
   /** Takes up what the host asked for since the last time. */
-  void settle(long nowMs) {
-    host.showRows(nowMs);
+  void collectEffects(long nowMs) {
+    host.publishWorkers(nowMs);
     effects.clear();
-    effects.addAll(host.takeEffects());
+    effects.addAll(host.drainEffects());
   }
 
   /** Has the owner of a session order a run. */
   void order(long session, String worker, long nowMs, RunRef run) {
     StartRuns message = new StartRuns(++order, worker, "j", "", 100, NEED, List.of(run));
     host.startRuns(session, message, nowMs);
-    settle(nowMs);
+    collectEffects(nowMs);
   }
 
   /** Has the owner of a session order a run, and its worker say that it runs. */
   void start(long session, String worker, long nowMs, RunRef run) {
     order(session, worker, nowMs, run);
-    host.startAnswered(worker, run, new StartAnswer.Started(501), nowMs);
+    host.startCallCompleted(worker, run, new StartResult.Started(501), nowMs);
   }
 
   /** Answers the call for a worker's list. */
-  void list(String worker, long nowMs, List<RunRef> running, HoldAnswer.Ended... ended) {
-    host.holdAnswered(worker, HoldAnswers.listed(nowMs, running, ended), nowMs);
-    settle(nowMs);
+  void answerPoll(String worker, long nowMs, List<RunRef> running, PollResult.Ended... ended) {
+    host.pollCallCompleted(worker, PollResults.listed(nowMs, running, ended), nowMs);
+    collectEffects(nowMs);
   }
 
   <E extends HostEffect> List<E> all(Class<E> type) {
     return effects.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
-  <M extends Message> List<M> told(Class<M> type) {
-    return told(SESSION, type);
+  <M extends Message> List<M> sent(Class<M> type) {
+    return sent(SESSION, type);
   }
 
-  <M extends Message> List<M> told(long session, Class<M> type) {
-    return all(HostEffect.ToOwner.class).stream()
+  <M extends Message> List<M> sent(long session, Class<M> type) {
+    return all(HostEffect.SendToOwner.class).stream()
         .filter(to -> to.sessionId() == session)
-        .map(HostEffect.ToOwner::message)
+        .map(HostEffect.SendToOwner::message)
         .filter(type::isInstance)
         .map(type::cast)
         .toList();
--- a/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
@@ -26,46 +26,46 @@
   @BeforeMethod
   public void oneWorkerWithRunsOfTwoOwners() {
     fixture = HostFixture.startedBefore(1_000);
-    fixture.host.workerSeen(HostFixture.worker(WORKER, new Room(4_000, 100, 0), 1), 1_000);
-    fixture.settle(1_000);
-    fixture.list(WORKER, 1_000, List.of());
-    fixture.host.sessionBegan(LOST, "lost", 1_000);
-    fixture.host.sessionBegan(OTHER, "other", 1_000);
-    beat(LOST, 1_000);
-    beat(OTHER, 1_000);
+    fixture.host.workerHeartbeat(HostFixture.worker(WORKER, new Room(4_000, 100, 0), 1), 1_000);
+    fixture.collectEffects(1_000);
+    fixture.answerPoll(WORKER, 1_000, List.of());
+    fixture.host.sessionOpened(LOST, "lost", 1_000);
+    fixture.host.sessionOpened(OTHER, "other", 1_000);
+    heartbeat(LOST, 1_000);
+    heartbeat(OTHER, 1_000);
     fixture.start(LOST, WORKER, 1_000, OF_LOST);
     fixture.start(OTHER, WORKER, 1_000, OF_OTHER);
-    fixture.settle(1_000);
+    fixture.collectEffects(1_000);
   }
 
-  private void beat(long session, long nowMs) {
-    fixture.host.ownerBeat(session, nowMs, true, nowMs);
-    fixture.settle(nowMs);
+  private void heartbeat(long session, long nowMs) {
+    fixture.host.ownerHeartbeat(session, nowMs, true, nowMs);
+    fixture.collectEffects(nowMs);
   }
 
   private void loseOwner(long nowMs) {
-    beat(OTHER, nowMs);
+    heartbeat(OTHER, nowMs);
     fixture.host.sessionEnded(LOST, "its process is gone", nowMs);
-    fixture.settle(nowMs);
-    assertEquals(fixture.all(HostEffect.CallStop.class).getFirst().run(), OF_LOST);
+    fixture.collectEffects(nowMs);
+    assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), OF_LOST);
   }
 
   private void leaveStopUnanswered(long nowMs) {
-    fixture.host.stopAnswered(WORKER, OF_LOST, false, nowMs);
-    fixture.settle(nowMs);
+    fixture.host.stopCallCompleted(WORKER, OF_LOST, false, nowMs);
+    fixture.collectEffects(nowMs);
   }
 
-  private void list(long nowMs) {
-    fixture.list(WORKER, nowMs, List.of(OF_LOST, OF_OTHER));
+  private void answerPoll(long nowMs) {
+    fixture.answerPoll(WORKER, nowMs, List.of(OF_LOST, OF_OTHER));
   }
 
   private long newestDeadlineMs() {
-    return fixture.all(HostEffect.CallHold.class).getLast().deadlineMs();
+    return fixture.all(HostEffect.PollCall.class).getLast().deadlineMs();
   }
 
   /** Returns when everything is over by a deadline that is sent right after a list. */
   private static long overAtMs(long deadlineMs, long listedAtMs) {
-    long leaseMs = deadlineMs - HoldAnswers.listed(listedAtMs, List.of()).workerClockMs();
+    long leaseMs = deadlineMs - PollResults.listed(listedAtMs, List.of()).workerClockMs();
     return listedAtMs + (long) Math.ceil(leaseMs * 1.02) + HostFixture.TIMING.killGraceMs();
   }
 
@@ -73,8 +73,8 @@
   public void theLeaseOfAWorkerIsNotRenewedWhileAStopHasNoAnswer() {
     loseOwner(1_400);
     leaveStopUnanswered(1_430);
-    list(1_460);
-    list(1_510);
+    answerPoll(1_460);
+    answerPoll(1_510);
     assertEquals(newestDeadlineMs(), 0);
   }
 
@@ -82,43 +82,43 @@
   public void aStartKeepsNoRunGoingThatIsToBeOver() {
     loseOwner(1_400);
     leaveStopUnanswered(1_430);
-    list(1_460);
+    answerPoll(1_460);
     fixture.order(OTHER, WORKER, 1_460, LATER);
-    long deadlineMs = fixture.all(HostEffect.CallStart.class).getFirst().deadlineMs();
-    long dueOverMs = 1_400 + HostFixture.TIMING.workerOverAfterMs();
-    assertTrue(overAtMs(deadlineMs, 1_460) <= dueOverMs, "deadline " + deadlineMs);
+    long deadlineMs = fixture.all(HostEffect.StartCall.class).getFirst().deadlineMs();
+    long mustEndByMs = 1_400 + HostFixture.TIMING.workerOverAfterMs();
+    assertTrue(overAtMs(deadlineMs, 1_460) <= mustEndByMs, "deadline " + deadlineMs);
   }
 
   @Test
   public void nothingStartsOnALeaseThatIsAboutToEnd() {
     loseOwner(1_400);
     leaveStopUnanswered(1_430);
-    list(1_460);
-    beat(OTHER, 2_000);
-    list(2_100);
+    answerPoll(1_460);
+    heartbeat(OTHER, 2_000);
+    answerPoll(2_100);
     fixture.order(OTHER, WORKER, 2_100, LATER);
-    assertEquals(fixture.all(HostEffect.CallStart.class), List.of());
-    assertEquals(fixture.told(OTHER, RunNotStarted.class).getFirst().run(), LATER);
+    assertEquals(fixture.all(HostEffect.StartCall.class), List.of());
+    assertEquals(fixture.sent(OTHER, RunNotStarted.class).getFirst().run(), LATER);
   }
 
   @Test
   public void theLeaseIsRenewedAgainOnceTheStoppedRunIsOver() {
     loseOwner(1_400);
     leaveStopUnanswered(1_430);
-    list(1_460);
-    fixture.host.stopAnswered(WORKER, OF_LOST, true, 1_470);
-    fixture.list(
-        WORKER, 1_540, List.of(OF_OTHER), new HoldAnswer.Ended(1, OF_LOST, RunEnd.STOPPED));
+    answerPoll(1_460);
+    fixture.host.stopCallCompleted(WORKER, OF_LOST, true, 1_470);
+    fixture.answerPoll(
+        WORKER, 1_540, List.of(OF_OTHER), new PollResult.Ended(1, OF_LOST, RunEnd.STOPPED));
     assertTrue(newestDeadlineMs() > 0);
   }
 
   @Test
   public void theLeaseIsNotRenewedForAnOwnerWhoseLeaseIsOver() {
-    beat(OTHER, 1_600);
+    heartbeat(OTHER, 1_600);
     long ownerLeaseOverMs = 1_000 + HostFixture.TIMING.ownerLeaseMs();
-    list(ownerLeaseOverMs - 10);
-    beat(OTHER, ownerLeaseOverMs + 100);
-    list(ownerLeaseOverMs + 150);
+    answerPoll(ownerLeaseOverMs - 10);
+    heartbeat(OTHER, ownerLeaseOverMs + 100);
+    answerPoll(ownerLeaseOverMs + 150);
     assertEquals(newestDeadlineMs(), 0);
   }
 
@@ -126,8 +126,8 @@
   public void runsOfAKilledOwnerAreOverBeforeItsCallersReturn() {
     long callersReturnMs = 1_000 + 2 * HostFixture.TIMING.ownerLeaseMs();
     for (long atMs = 1_050; atMs <= 1_640; atMs += 50) {
-      beat(OTHER, atMs);
-      list(atMs);
+      heartbeat(OTHER, atMs);
+      answerPoll(atMs);
       long deadlineMs = newestDeadlineMs();
       assertTrue(deadlineMs == 0 || overAtMs(deadlineMs, atMs) < callersReturnMs, "at " + atMs);
     }
@@ -135,48 +135,48 @@
 
   @Test
   public void aStrangersRunIsNotKeptGoingWhileItsStopHasNoAnswer() {
-    fixture.list(WORKER, 1_050, List.of(LATER, OF_LOST, OF_OTHER));
-    assertEquals(fixture.all(HostEffect.CallStop.class).getFirst().run(), LATER);
+    fixture.answerPoll(WORKER, 1_050, List.of(LATER, OF_LOST, OF_OTHER));
+    assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), LATER);
     assertEquals(newestDeadlineMs(), 0);
   }
 
   @Test
   public void aRepeatedStartMovesTheTimeAtWhichItsOrdersAreVoid() {
     fixture.order(OTHER, WORKER, 1_010, LATER);
-    beat(OTHER, 1_300);
-    fixture.host.startAnswered(WORKER, LATER, new StartAnswer.Unanswered(), 1_300);
-    beat(OTHER, 1_310);
+    heartbeat(OTHER, 1_300);
+    fixture.host.startCallCompleted(WORKER, LATER, new StartResult.Unanswered(), 1_300);
+    heartbeat(OTHER, 1_310);
     fixture.host.stopRun(OTHER, LATER, 1_310);
     long firstIsVoidMs = 1_010 + HostFixture.TIMING.workerOverAfterMs();
-    beat(OTHER, firstIsVoidMs);
-    fixture.list(WORKER, firstIsVoidMs, List.of());
+    heartbeat(OTHER, firstIsVoidMs);
+    fixture.answerPoll(WORKER, firstIsVoidMs, List.of());
     fixture.host.onTick(firstIsVoidMs + 50);
-    fixture.settle(firstIsVoidMs + 50);
-    fixture.list(WORKER, firstIsVoidMs + 60, List.of());
-    assertTrue(fixture.told(OTHER, RunEnded.class).stream().noneMatch(e -> e.run().equals(LATER)));
+    fixture.collectEffects(firstIsVoidMs + 50);
+    fixture.answerPoll(WORKER, firstIsVoidMs + 60, List.of());
+    assertTrue(fixture.sent(OTHER, RunEnded.class).stream().noneMatch(e -> e.run().equals(LATER)));
   }
 
   @Test
   public void aRunThatWasNeverThereIsOverOnceItsDeadlineHasPassed() {
-    beat(LOST, 1_300);
-    beat(OTHER, 1_300);
+    heartbeat(LOST, 1_300);
+    heartbeat(OTHER, 1_300);
     fixture.order(LOST, WORKER, 1_300, LATER);
-    fixture.host.startAnswered(WORKER, LATER, new StartAnswer.Unanswered(), 1_330);
+    fixture.host.startCallCompleted(WORKER, LATER, new StartResult.Unanswered(), 1_330);
     loseOwner(1_340);
     long leaseOverMs = 1_330 + HostFixture.TIMING.workerOverAfterMs();
-    beat(OTHER, leaseOverMs);
+    heartbeat(OTHER, leaseOverMs);
     assertEquals(fixture.host.runCount(), 3);
-    fixture.list(
+    fixture.answerPoll(
         WORKER,
         leaseOverMs,
         List.of(),
-        new HoldAnswer.Ended(1, OF_LOST, RunEnd.LAPSED),
-        new HoldAnswer.Ended(2, OF_OTHER, RunEnd.LAPSED));
-    assertEquals(fixture.told(OTHER, RunEnded.class).getFirst().end(), RunEnd.LAPSED);
+        new PollResult.Ended(1, OF_LOST, RunEnd.LAPSED),
+        new PollResult.Ended(2, OF_OTHER, RunEnd.LAPSED));
+    assertEquals(fixture.sent(OTHER, RunEnded.class).getFirst().end(), RunEnd.LAPSED);
     assertEquals(fixture.host.runCount(), 1);
     fixture.host.onTick(leaseOverMs + 50);
-    fixture.settle(leaseOverMs + 50);
-    fixture.list(WORKER, leaseOverMs + 60, List.of());
+    fixture.collectEffects(leaseOverMs + 50);
+    fixture.answerPoll(WORKER, leaseOverMs + 60, List.of());
     assertEquals(fixture.host.runCount(), 0);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/PaceMeterTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/PaceEstimatorTest.java
@@ -7,16 +7,16 @@
 import org.testng.annotations.Test;
 
 /** Estimates off by 0.4, three runs in a hundred up to seven times as long as their like. */
-public final class PaceMeterTest {
+public final class PaceEstimatorTest {
   private static final long ESTIMATE_MS = 200;
 
-  private static PaceMeter after(int ends, double pace, long seed) {
+  private static PaceEstimator after(int ends, double pace, long seed) {
     Random random = new Random(seed);
-    PaceMeter meter = new PaceMeter();
+    PaceEstimator meter = new PaceEstimator();
     for (int i = 0; i < ends; i++) {
       double off = Math.exp(0.4 * random.nextGaussian());
       double tail = random.nextInt(100) < 3 ? 7 : 1;
-      meter.noteDone((long) (ESTIMATE_MS * pace * off * tail), ESTIMATE_MS);
+      meter.recordSuccess((long) (ESTIMATE_MS * pace * off * tail), ESTIMATE_MS);
     }
     return meter;
   }
@@ -38,13 +38,13 @@
 
   @Test
   public void whatIsToldStaysWhileThePaceMovesLittle() {
-    PaceMeter meter = after(300, 1, 1);
-    int told = meter.percent();
+    PaceEstimator meter = after(300, 1, 1);
+    int sent = meter.percent();
     int changes = 0;
     for (int i = 0; i < 300; i++) {
-      meter.noteDone(ESTIMATE_MS + (i % 2 == 0 ? 60 : -45), ESTIMATE_MS);
-      if (meter.percent() != told) {
-        told = meter.percent();
+      meter.recordSuccess(ESTIMATE_MS + (i % 2 == 0 ? 60 : -45), ESTIMATE_MS);
+      if (meter.percent() != sent) {
+        sent = meter.percent();
         changes++;
       }
     }
@@ -53,9 +53,9 @@
 
   @Test
   public void aMachineOfAnotherKindIsKnownWithinSomeHundredEnds() {
-    PaceMeter meter = after(300, 1, 1);
+    PaceEstimator meter = after(300, 1, 1);
     for (int i = 0; i < 400; i++) {
-      meter.noteDone((long) (ESTIMATE_MS / 0.6), ESTIMATE_MS);
+      meter.recordSuccess((long) (ESTIMATE_MS / 0.6), ESTIMATE_MS);
     }
     assertTrue(meter.percent() > 140, "pace " + meter.percent());
   }
--- a/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
@@ -25,67 +25,67 @@
   @BeforeMethod
   public void oneWorkerWithARun() {
     fixture = HostFixture.startedBefore(1_000);
-    fixture.host.workerSeen(HostFixture.worker(WORKER, new Room(4_000, 100, 0), 1), 1_000);
-    fixture.settle(1_000);
-    fixture.list(WORKER, 1_000, List.of());
-    fixture.host.sessionBegan(SESSION, "o", 1_000);
-    beat(1_000);
+    fixture.host.workerHeartbeat(HostFixture.worker(WORKER, new Room(4_000, 100, 0), 1), 1_000);
+    fixture.collectEffects(1_000);
+    fixture.answerPoll(WORKER, 1_000, List.of());
+    fixture.host.sessionOpened(SESSION, "o", 1_000);
+    heartbeat(1_000);
     fixture.start(SESSION, WORKER, 1_000, GOING_ON);
-    fixture.settle(1_000);
+    fixture.collectEffects(1_000);
   }
 
-  private void beat(long nowMs) {
-    fixture.host.ownerBeat(SESSION, nowMs, true, nowMs);
-    fixture.settle(nowMs);
+  private void heartbeat(long nowMs) {
+    fixture.host.ownerHeartbeat(SESSION, nowMs, true, nowMs);
+    fixture.collectEffects(nowMs);
   }
 
   private void refuseHold(long nowMs) {
-    fixture.host.holdAnswered(WORKER, new HoldAnswer.NobodyThere(), nowMs);
-    fixture.settle(nowMs);
+    fixture.host.pollCallCompleted(WORKER, new PollResult.ConnectionRefused(), nowMs);
+    fixture.collectEffects(nowMs);
   }
 
   private void tick(long nowMs) {
     fixture.host.onTick(nowMs);
-    fixture.settle(nowMs);
+    fixture.collectEffects(nowMs);
   }
 
   @Test
   public void aRefusedListDoesNotEndTheRunsOfAWorker() {
     refuseHold(1_020);
-    assertEquals(fixture.told(RunEnded.class), List.of());
+    assertEquals(fixture.sent(RunEnded.class), List.of());
     assertEquals(fixture.host.runCount(), 1);
   }
 
   @Test
   public void aRefusedStartDoesNotEndTheOtherRunsOfAWorker() {
     fixture.order(SESSION, WORKER, 1_010, ORDERED);
-    fixture.host.startAnswered(WORKER, ORDERED, new StartAnswer.NobodyThere(), 1_012);
-    fixture.settle(1_012);
-    assertEquals(fixture.told(RunEnded.class), List.of());
+    fixture.host.startCallCompleted(WORKER, ORDERED, new StartResult.ConnectionRefused(), 1_012);
+    fixture.collectEffects(1_012);
+    assertEquals(fixture.sent(RunEnded.class), List.of());
     assertEquals(fixture.host.runCount(), 1);
-    assertEquals(fixture.told(RunNotStarted.class).getFirst().run(), ORDERED);
+    assertEquals(fixture.sent(RunNotStarted.class).getFirst().run(), ORDERED);
   }
 
   @Test
   public void aRefusedStartThatFollowsAnUnansweredOneIsNotReportedAsNotStarted() {
     fixture.order(SESSION, WORKER, 1_010, ORDERED);
-    fixture.host.startAnswered(WORKER, ORDERED, new StartAnswer.Unanswered(), 1_030);
-    fixture.host.startAnswered(WORKER, ORDERED, new StartAnswer.NobodyThere(), 1_032);
-    fixture.settle(1_032);
-    assertEquals(fixture.told(RunNotStarted.class), List.of());
+    fixture.host.startCallCompleted(WORKER, ORDERED, new StartResult.Unanswered(), 1_030);
+    fixture.host.startCallCompleted(WORKER, ORDERED, new StartResult.ConnectionRefused(), 1_032);
+    fixture.collectEffects(1_032);
+    assertEquals(fixture.sent(RunNotStarted.class), List.of());
     assertEquals(fixture.host.runCount(), 2);
   }
 
   @Test
   public void theRunsOfAWorkerThatRefusesConnectionsAreLostOnceItsLeaseIsOver() {
     refuseHold(1_020);
-    beat(1_500);
+    heartbeat(1_500);
     tick(LEASE_OVER_MS - 1);
-    assertEquals(fixture.told(RunEnded.class), List.of());
+    assertEquals(fixture.sent(RunEnded.class), List.of());
     refuseHold(LEASE_OVER_MS - 1);
     tick(LEASE_OVER_MS);
-    assertEquals(fixture.told(RunEnded.class).getFirst().end(), RunEnd.LOST);
-    WorkerCrashed crash = fixture.told(WorkerCrashed.class).getFirst();
+    assertEquals(fixture.sent(RunEnded.class).getFirst().end(), RunEnd.LOST);
+    WorkerCrashed crash = fixture.sent(WorkerCrashed.class).getFirst();
     assertEquals(crash.tasks(), List.of(GOING_ON.task()));
     assertEquals(crash.agoMs(), LEASE_OVER_MS - 1_020);
     assertEquals(fixture.host.workerCount(), 0);
@@ -95,34 +95,34 @@
   public void theLeaseOfAWorkerThatRefusesConnectionsIsNotRenewed() {
     refuseHold(1_020);
     tick(1_100);
-    assertEquals(fixture.all(HostEffect.CallHold.class).getFirst().deadlineMs(), 0);
+    assertEquals(fixture.all(HostEffect.PollCall.class).getFirst().deadlineMs(), 0);
   }
 
   @Test
   public void aRefusedStartLeavesTheLeaseOfItsWorkerToEnd() {
     fixture.order(SESSION, WORKER, 1_010, ORDERED);
-    fixture.host.startAnswered(WORKER, ORDERED, new StartAnswer.NobodyThere(), 1_012);
+    fixture.host.startCallCompleted(WORKER, ORDERED, new StartResult.ConnectionRefused(), 1_012);
     fixture.order(SESSION, WORKER, 1_013, new RunRef("j.0.2", 1));
-    assertEquals(fixture.all(HostEffect.CallStart.class), List.of());
-    fixture.host.holdAnswered(WORKER, new HoldAnswer.Unanswered(), 1_020);
-    fixture.settle(1_020);
+    assertEquals(fixture.all(HostEffect.StartCall.class), List.of());
+    fixture.host.pollCallCompleted(WORKER, new PollResult.Unanswered(), 1_020);
+    fixture.collectEffects(1_020);
     tick(1_100);
-    assertEquals(fixture.all(HostEffect.CallHold.class).getFirst().deadlineMs(), 0);
+    assertEquals(fixture.all(HostEffect.PollCall.class).getFirst().deadlineMs(), 0);
   }
 
   @Test
   public void aWorkerThatAnsweredAgainAndFallsSilentDidNotCrash() {
     refuseHold(1_020);
     tick(1_100);
-    fixture.list(WORKER, 1_110, List.of(GOING_ON));
+    fixture.answerPoll(WORKER, 1_110, List.of(GOING_ON));
     for (long nowMs = 1_200; nowMs <= 1_400; nowMs += 50) {
-      fixture.host.holdAnswered(WORKER, new HoldAnswer.Unanswered(), nowMs);
+      fixture.host.pollCallCompleted(WORKER, new PollResult.Unanswered(), nowMs);
       tick(nowMs);
     }
-    beat(1_900);
+    heartbeat(1_900);
     tick(1_110 + HostFixture.TIMING.workerOverAfterMs());
-    assertEquals(fixture.told(RunEnded.class).getFirst().end(), RunEnd.LOST);
-    assertEquals(fixture.told(WorkerCrashed.class), List.of());
+    assertEquals(fixture.sent(RunEnded.class).getFirst().end(), RunEnd.LOST);
+    assertEquals(fixture.sent(WorkerCrashed.class), List.of());
     assertEquals(fixture.host.workerCount(), 1);
   }
 
@@ -130,9 +130,9 @@
   public void aWorkerThatAnswersAgainKeepsItsRuns() {
     refuseHold(1_020);
     tick(1_100);
-    fixture.list(WORKER, 1_110, List.of(GOING_ON));
+    fixture.answerPoll(WORKER, 1_110, List.of(GOING_ON));
     tick(LEASE_OVER_MS);
-    assertEquals(fixture.told(RunEnded.class), List.of());
+    assertEquals(fixture.sent(RunEnded.class), List.of());
     assertEquals(fixture.host.runCount(), 1);
   }
 
@@ -140,16 +140,16 @@
   public void aWorkerThatRefusesConnectionsGetsNothingNew() {
     refuseHold(1_020);
     fixture.order(SESSION, WORKER, 1_030, ORDERED);
-    assertEquals(fixture.all(HostEffect.CallStart.class), List.of());
-    assertEquals(fixture.told(RunNotStarted.class).getFirst().run(), ORDERED);
+    assertEquals(fixture.all(HostEffect.StartCall.class), List.of());
+    assertEquals(fixture.sent(RunNotStarted.class).getFirst().run(), ORDERED);
   }
 
   @Test
   public void anotherLifeAtTheAddressEndsTheRunsAtOnce() {
     refuseHold(1_020);
     tick(1_100);
-    fixture.host.holdAnswered(WORKER, new HoldAnswer.Gone(), 1_110);
-    fixture.settle(1_110);
-    assertEquals(fixture.told(RunEnded.class).getFirst().end(), RunEnd.LOST);
+    fixture.host.pollCallCompleted(WORKER, new PollResult.OtherInstance(), 1_110);
+    fixture.collectEffects(1_110);
+    assertEquals(fixture.sent(RunEnded.class).getFirst().end(), RunEnd.LOST);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/RoomChangesTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RoomChangesTest.java
@@ -19,53 +19,53 @@
   private static final RunRef SECOND = new RunRef("j.0.1", 1);
   private static final RunRef THIRD = new RunRef("j.0.2", 1);
 
-  private HostFixture host;
+  private HostFixture fixture;
 
   @BeforeMethod
   public void fillTheWorker() {
-    host = HostFixture.startedBefore(1_000);
+    fixture = HostFixture.startedBefore(1_000);
     tell(LARGE, 1, 1_000);
-    host.host.sessionBegan(HostFixture.SESSION, "o", 1_000);
-    list(1_000, List.of());
+    fixture.host.sessionOpened(HostFixture.SESSION, "o", 1_000);
+    answerPoll(1_000, List.of());
     start(1_010, FIRST);
     start(1_011, SECOND);
   }
 
   private void tell(Room capacity, long version, long nowMs) {
-    host.host.workerSeen(HostFixture.worker("w", capacity, version), nowMs);
-    host.settle(nowMs);
+    fixture.host.workerHeartbeat(HostFixture.worker("w", capacity, version), nowMs);
+    fixture.collectEffects(nowMs);
   }
 
-  private void list(long nowMs, List<RunRef> running, HoldAnswer.Ended... ended) {
-    host.list("w", nowMs, running, ended);
+  private void answerPoll(long nowMs, List<RunRef> running, PollResult.Ended... ended) {
+    fixture.answerPoll("w", nowMs, running, ended);
   }
 
   private void start(long nowMs, RunRef run) {
-    host.start(HostFixture.SESSION, "w", nowMs, run);
+    fixture.start(HostFixture.SESSION, "w", nowMs, run);
   }
 
   private long starts() {
-    return host.all(HostEffect.CallStart.class).size();
+    return fixture.all(HostEffect.StartCall.class).size();
   }
 
   private boolean isRefused(RunRef run) {
-    return host.told(RunNotStarted.class).stream().anyMatch(report -> report.run().equals(run));
+    return fixture.sent(RunNotStarted.class).stream().anyMatch(report -> report.run().equals(run));
   }
 
   @Test
   public void nothingIsStoppedWhenRoomShrinks() {
     tell(SMALL, 2, 1_020);
-    assertEquals(host.all(HostEffect.CallStop.class).size(), 0);
-    assertEquals(host.host.runCount(), 2);
+    assertEquals(fixture.all(HostEffect.StopCall.class).size(), 0);
+    assertEquals(fixture.host.runCount(), 2);
   }
 
   @Test
   public void nothingStartsUntilItFits() {
     tell(SMALL, 2, 1_020);
-    list(1_030, List.of(SECOND), new HoldAnswer.Ended(1, FIRST, RunEnd.DONE));
+    answerPoll(1_030, List.of(SECOND), new PollResult.Ended(1, FIRST, RunEnd.DONE));
     start(1_040, THIRD);
     assertEquals(isRefused(THIRD), true);
-    list(1_050, List.of(), new HoldAnswer.Ended(2, SECOND, RunEnd.DONE));
+    answerPoll(1_050, List.of(), new PollResult.Ended(2, SECOND, RunEnd.DONE));
     start(1_070, THIRD);
     assertEquals(starts(), 1);
   }
@@ -73,8 +73,8 @@
   @Test
   public void whatIsBeingStoppedStillCounts() {
     tell(SMALL, 2, 1_020);
-    list(1_030, List.of(SECOND), new HoldAnswer.Ended(1, FIRST, RunEnd.DONE));
-    host.host.stopRun(HostFixture.SESSION, SECOND, 1_031);
+    answerPoll(1_030, List.of(SECOND), new PollResult.Ended(1, FIRST, RunEnd.DONE));
+    fixture.host.stopRun(HostFixture.SESSION, SECOND, 1_031);
     start(1_040, THIRD);
     assertEquals(isRefused(THIRD), true);
   }
@@ -90,7 +90,7 @@
   @Test
   public void ownersSeeAChangeOfRoom() {
     tell(SMALL, 2, 1_200);
-    HostRows rows = host.told(HostRows.class).getFirst();
+    HostRows rows = fixture.sent(HostRows.class).getFirst();
     assertEquals(rows.workers().getFirst().capacity(), SMALL);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/RoomOffersTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RoomReservationsTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /** How a host gives freed room of a full worker to its owners. */
-public final class RoomOffersTest {
+public final class RoomReservationsTest {
   private static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
   private static final Room CAPACITY = new Room(2_000, 1_000, 0);
   private static final Room NEED = new Room(1_000, 10, 0);
@@ -33,49 +33,49 @@
   @BeforeMethod
   public void fillAWorker() {
     host =
-        KnownZones.none(
+        ZoneFixtures.noneEvacuated(
             WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - TIMING.workerOverAfterMs()));
-    host.workerSeen(
+    host.workerHeartbeat(
         new WorkerInfo("w", "s", "10.0.0.1:1", "z", false, CAPACITY, List.of(), 1, 500_000), 1_000);
-    host.sessionBegan(FIRST, "o1", 1_000);
-    host.sessionBegan(SECOND, "o2", 1_000);
-    list(1_000, List.of());
+    host.sessionOpened(FIRST, "o1", 1_000);
+    host.sessionOpened(SECOND, "o2", 1_000);
+    answerPoll(1_000, List.of());
     order(FIRST, 1_000, ENDS, STAYS);
-    settle(1_100);
+    collectEffects(1_100);
   }
 
-  private void settle(long nowMs) {
-    host.showRows(nowMs);
+  private void collectEffects(long nowMs) {
+    host.publishWorkers(nowMs);
     effects.clear();
-    effects.addAll(host.takeEffects());
+    effects.addAll(host.drainEffects());
   }
 
-  private void list(long nowMs, List<RunRef> running, HoldAnswer.Ended... ended) {
-    host.holdAnswered("w", HoldAnswers.listed(nowMs, running, ended), nowMs);
-    settle(nowMs);
+  private void answerPoll(long nowMs, List<RunRef> running, PollResult.Ended... ended) {
+    host.pollCallCompleted("w", PollResults.listed(nowMs, running, ended), nowMs);
+    collectEffects(nowMs);
   }
 
   private void order(long session, long nowMs, RunRef... runs) {
     StartRuns message = new StartRuns(++order, "w", "j", "spec", 100, NEED, List.of(runs));
     host.startRuns(session, message, nowMs);
-    settle(nowMs);
+    collectEffects(nowMs);
   }
 
   private void waiting(long session, int rank, long waitedMs, long nowMs) {
     WaitingRow row = new WaitingRow("s", rank, waitedMs, 1);
-    host.ownerWaiting(session, new OwnerWaiting(List.of(row)), nowMs);
-    settle(nowMs);
+    host.updateWaitingTasks(session, new OwnerWaiting(List.of(row)), nowMs);
+    collectEffects(nowMs);
   }
 
   private void endOne(long nowMs) {
-    list(nowMs, List.of(STAYS), new HoldAnswer.Ended(1, ENDS, RunEnd.DONE));
+    answerPoll(nowMs, List.of(STAYS), new PollResult.Ended(1, ENDS, RunEnd.DONE));
   }
 
   /** Returns the processor room that a connection was shown last; -1 if it was shown nothing. */
   private long shown(long session) {
     long cpuMilli = -1;
     for (HostEffect effect : effects) {
-      if (effect instanceof HostEffect.ToOwner to
+      if (effect instanceof HostEffect.SendToOwner to
           && to.sessionId() == session
           && to.message() instanceof HostRows rows) {
         cpuMilli = rows.workers().getFirst().free().cpuMilli();
@@ -86,7 +86,8 @@
 
   private long refused() {
     return effects.stream()
-        .filter(e -> e instanceof HostEffect.ToOwner to && to.message() instanceof RunNotStarted)
+        .filter(
+            e -> e instanceof HostEffect.SendToOwner to && to.message() instanceof RunNotStarted)
         .count();
   }
 
@@ -123,7 +124,7 @@
     waiting(FIRST, 2, 500, 1_101);
     waiting(SECOND, 0, 10, 1_102);
     endOne(1_103);
-    settle(1_103 + RoomOffers.KEPT_MS);
+    collectEffects(1_103 + RoomReservations.RESERVATION_MS);
     assertEquals(shown(FIRST), 1_000);
     order(FIRST, 1_114, new RunRef("k.0.0", 1));
     assertEquals(refused(), 0);
@@ -133,13 +134,13 @@
   @Test
   public void anIdleWorkerRefusesNoOrderForAnOffer() {
     waiting(SECOND, 0, 10, 1_102);
-    HoldAnswer.Ended first = new HoldAnswer.Ended(1, ENDS, RunEnd.DONE);
-    HoldAnswer.Ended last = new HoldAnswer.Ended(2, STAYS, RunEnd.DONE);
-    list(1_103, List.of(), first, last);
+    PollResult.Ended first = new PollResult.Ended(1, ENDS, RunEnd.DONE);
+    PollResult.Ended last = new PollResult.Ended(2, STAYS, RunEnd.DONE);
+    answerPoll(1_103, List.of(), first, last);
     RunRef whole = new RunRef("k.0.0", 1);
     StartRuns message = new StartRuns(++order, "w", "j", "spec", 100, CAPACITY, List.of(whole));
     host.startRuns(FIRST, message, 1_104);
-    settle(1_104);
+    collectEffects(1_104);
     assertEquals(refused(), 0);
   }
 
--- a/core/src/test/java/io/hingehoist/run/host/WorkerCrashTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerCrashTest.java
@@ -17,35 +17,35 @@
   private static final RunRef ONE = new RunRef("j.0.0", 1);
   private static final RunRef TWO = new RunRef("j.0.1", 1);
 
-  private HostFixture played;
+  private HostFixture fixture;
   private WorkerHost host;
 
   @BeforeMethod
   public void open() {
-    played = HostFixture.startedBefore(1_000);
-    host = played.host;
-    host.sessionBegan(1, "o1", 1_000);
-    host.sessionBegan(2, "o2", 1_000);
+    fixture = HostFixture.startedBefore(1_000);
+    host = fixture.host;
+    host.sessionOpened(1, "o1", 1_000);
+    host.sessionOpened(2, "o2", 1_000);
     worker("w", 1_000);
   }
 
   private void worker(String id, long nowMs) {
-    host.workerSeen(HostFixture.worker(id, CAPACITY, 9), nowMs);
-    played.list(id, nowMs, List.of());
+    host.workerHeartbeat(HostFixture.worker(id, CAPACITY, 9), nowMs);
+    fixture.answerPoll(id, nowMs, List.of());
   }
 
   private void run(String worker, RunRef run, long nowMs) {
-    host.ownerBeat(1, nowMs, true, nowMs);
-    played.start(1, worker, nowMs, run);
+    host.ownerHeartbeat(1, nowMs, true, nowMs);
+    fixture.start(1, worker, nowMs, run);
   }
 
   private void crash(String worker, long nowMs) {
-    host.holdAnswered(worker, new HoldAnswer.Gone(), nowMs);
-    played.settle(nowMs);
+    host.pollCallCompleted(worker, new PollResult.OtherInstance(), nowMs);
+    fixture.collectEffects(nowMs);
   }
 
-  private List<WorkerCrashed> told(long session) {
-    return played.told(session, WorkerCrashed.class);
+  private List<WorkerCrashed> sent(long session) {
+    return fixture.sent(session, WorkerCrashed.class);
   }
 
   @Test
@@ -54,17 +54,17 @@
     run("w", TWO, 1_020);
     crash("w", 1_030);
     WorkerCrashed news = new WorkerCrashed("w", 0, false, List.of(ONE.task(), TWO.task()));
-    assertEquals(told(1), List.of(news));
-    assertEquals(told(2), List.of(news));
+    assertEquals(sent(1), List.of(news));
+    assertEquals(sent(2), List.of(news));
   }
 
   @Test
   public void anOwnerThatComesLaterHearsOfItAsWell() {
     run("w", ONE, 1_010);
     crash("w", 1_030);
-    host.sessionBegan(3, "o3", 2_030);
-    played.settle(2_030);
-    assertEquals(told(3), List.of(new WorkerCrashed("w", 1_000, false, List.of(ONE.task()))));
+    host.sessionOpened(3, "o3", 2_030);
+    fixture.collectEffects(2_030);
+    assertEquals(sent(3), List.of(new WorkerCrashed("w", 1_000, false, List.of(ONE.task()))));
   }
 
   @Test
@@ -72,13 +72,13 @@
     run("w", ONE, 1_010);
     host.workerLeaves("w");
     crash("w", 1_030);
-    assertEquals(told(1), List.of());
+    assertEquals(sent(1), List.of());
   }
 
   @Test
   public void aWorkerThatRanNothingSaysNothingOfTasks() {
     crash("w", 1_030);
-    assertEquals(told(1), List.of());
+    assertEquals(sent(1), List.of());
   }
 
   @Test
@@ -88,10 +88,10 @@
     worker("w2", 2_000);
     run("w2", TWO, 2_010);
     crash("w2", 2_020);
-    assertEquals(told(1).getFirst().again(), true);
+    assertEquals(sent(1).getFirst().again(), true);
     worker("w3", 3_000);
     run("w3", TWO, 3_010);
     crash("w3", 3_020);
-    assertEquals(told(1).getFirst().again(), false);
+    assertEquals(sent(1).getFirst().again(), false);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
@@ -40,32 +40,32 @@
 
   private WorkerHost hostWithOwner(long nowMs) {
     WorkerHost host =
-        KnownZones.none(WorkerHost.create("h", 1, "z", TIMING, 100, nowMs - QUIET_MS));
-    host.workerSeen(worker("w1", false, 1), nowMs);
-    host.sessionBegan(SESSION, "o", nowMs);
-    list(host, nowMs, List.of());
+        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 1, "z", TIMING, 100, nowMs - QUIET_MS));
+    host.workerHeartbeat(worker("w1", false, 1), nowMs);
+    host.sessionOpened(SESSION, "o", nowMs);
+    answerPoll(host, nowMs, List.of());
     return host;
   }
 
-  private void settle(WorkerHost host, long nowMs) {
-    host.showRows(nowMs);
+  private void collectEffects(WorkerHost host, long nowMs) {
+    host.publishWorkers(nowMs);
     effects.clear();
-    effects.addAll(host.takeEffects());
+    effects.addAll(host.drainEffects());
   }
 
   private void order(WorkerHost host, long nowMs, RunRef... runs) {
     host.startRuns(
         SESSION, new StartRuns(++order, "w1", "j", "spec", 100, NEED, List.of(runs)), nowMs);
-    settle(host, nowMs);
+    collectEffects(host, nowMs);
   }
 
   private <E extends HostEffect> List<E> all(Class<E> type) {
     return effects.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
-  private <M extends Message> List<M> told(Class<M> type) {
-    return all(HostEffect.ToOwner.class).stream()
-        .map(HostEffect.ToOwner::message)
+  private <M extends Message> List<M> sent(Class<M> type) {
+    return all(HostEffect.SendToOwner.class).stream()
+        .map(HostEffect.SendToOwner::message)
         .filter(type::isInstance)
         .map(type::cast)
         .toList();
@@ -75,44 +75,45 @@
     return new RunRef("j.0." + index, number);
   }
 
-  private void list(WorkerHost host, long nowMs, List<RunRef> running, HoldAnswer.Ended... ended) {
-    host.holdAnswered("w1", HoldAnswers.listed(nowMs, running, ended), nowMs);
-    settle(host, nowMs);
+  private void answerPoll(
+      WorkerHost host, long nowMs, List<RunRef> running, PollResult.Ended... ended) {
+    host.pollCallCompleted("w1", PollResults.listed(nowMs, running, ended), nowMs);
+    collectEffects(host, nowMs);
   }
 
   @Test
   public void neverOrdersMoreThanTheWorkerHasRoomFor() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1), run(1, 1), run(2, 1));
-    assertEquals(all(HostEffect.CallStart.class).size(), 2);
-    assertEquals(told(RunNotStarted.class), List.of(new RunNotStarted(run(2, 1), RunRefusal.ROOM)));
+    assertEquals(all(HostEffect.StartCall.class).size(), 2);
+    assertEquals(sent(RunNotStarted.class), List.of(new RunNotStarted(run(2, 1), RunRefusal.ROOM)));
   }
 
   @Test
   public void aStoppedRunKeepsItsRoomUntilItsEndIsListed() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1), run(1, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
     host.stopRun(SESSION, run(0, 1), 1_010);
-    host.stopAnswered("w1", run(0, 1), true, 1_012);
+    host.stopCallCompleted("w1", run(0, 1), true, 1_012);
     order(host, 1_013, run(3, 1));
-    assertEquals(told(RunNotStarted.class).size(), 1);
-    list(host, 1_060, List.of(), new HoldAnswer.Ended(1, run(0, 1), RunEnd.STOPPED));
+    assertEquals(sent(RunNotStarted.class).size(), 1);
+    answerPoll(host, 1_060, List.of(), new PollResult.Ended(1, run(0, 1), RunEnd.STOPPED));
     order(host, 1_061, run(3, 2));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   @Test
   public void anUnansweredStartIsRepeatedWithItsNumber() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_025);
-    settle(host, 1_025);
-    assertEquals(all(HostEffect.CallStop.class), List.of());
-    assertEquals(all(HostEffect.CallStart.class).getFirst().run(), run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_027);
-    list(host, 1_100, List.of(), new HoldAnswer.Ended(1, run(0, 1), RunEnd.DONE));
-    assertEquals(told(RunEnded.class).getFirst().end(), RunEnd.DONE);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_025);
+    collectEffects(host, 1_025);
+    assertEquals(all(HostEffect.StopCall.class), List.of());
+    assertEquals(all(HostEffect.StartCall.class).getFirst().run(), run(0, 1));
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_027);
+    answerPoll(host, 1_100, List.of(), new PollResult.Ended(1, run(0, 1), RunEnd.DONE));
+    assertEquals(sent(RunEnded.class).getFirst().end(), RunEnd.DONE);
   }
 
   /** Kept connections to a worker fall silent together; the second was tried 20 to 40 ms longer. */
@@ -120,60 +121,60 @@
   public void aStartWithoutAnAnswerIsRepeatedOnANewConnection() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    assertFalse(all(HostEffect.CallStart.class).getFirst().patience().freshConnection());
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_025);
-    settle(host, 1_025);
-    assertTrue(all(HostEffect.CallStart.class).getLast().patience().freshConnection());
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_050);
-    settle(host, 1_050);
-    assertTrue(all(HostEffect.CallStart.class).getLast().patience().freshConnection());
+    assertFalse(all(HostEffect.StartCall.class).getFirst().options().freshConnection());
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_025);
+    collectEffects(host, 1_025);
+    assertTrue(all(HostEffect.StartCall.class).getLast().options().freshConnection());
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_050);
+    collectEffects(host, 1_050);
+    assertTrue(all(HostEffect.StartCall.class).getLast().options().freshConnection());
   }
 
   @Test
   public void whileCallsGetLostAWorkerIsAskedForItsEndsMoreOften() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_001);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_120);
-    list(host, 1_121, List.of(run(0, 1)));
-    assertEquals(all(HostEffect.CallHold.class).getFirst().waitMs(), 50);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_220);
-    list(host, 1_221, List.of(run(0, 1)));
-    assertEquals(all(HostEffect.CallHold.class).getFirst().waitMs(), 20);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_001);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_120);
+    answerPoll(host, 1_121, List.of(run(0, 1)));
+    assertEquals(all(HostEffect.PollCall.class).getFirst().waitMs(), 50);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_220);
+    answerPoll(host, 1_221, List.of(run(0, 1)));
+    assertEquals(all(HostEffect.PollCall.class).getFirst().waitMs(), 20);
   }
 
   @Test
   public void aStopThatFailsAtOnceIsTriedAgainWithTheNextTick() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
     host.stopRun(SESSION, run(0, 1), 1_010);
-    settle(host, 1_010);
-    host.stopAnswered("w1", run(0, 1), false, 1_011);
-    settle(host, 1_011);
-    assertEquals(all(HostEffect.CallStop.class), List.of());
+    collectEffects(host, 1_010);
+    host.stopCallCompleted("w1", run(0, 1), false, 1_011);
+    collectEffects(host, 1_011);
+    assertEquals(all(HostEffect.StopCall.class), List.of());
     host.onTick(1_050);
-    settle(host, 1_050);
-    assertEquals(all(HostEffect.CallStop.class).size(), 1);
+    collectEffects(host, 1_050);
+    assertEquals(all(HostEffect.StopCall.class).size(), 1);
   }
 
   @Test
   public void anUnansweredStartIsBarredByAStopBeforeItsRoomIsFree() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_050);
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_100);
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_150);
-    settle(host, 1_150);
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_050);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_100);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_150);
+    collectEffects(host, 1_150);
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
     assertEquals(host.runCount(), 1);
-    host.stopAnswered("w1", run(0, 1), true, 1_152);
+    host.stopCallCompleted("w1", run(0, 1), true, 1_152);
     // This list was asked for before the stop was answered, and shows nothing.
-    list(host, 1_160, List.of());
+    answerPoll(host, 1_160, List.of());
     assertEquals(host.runCount(), 1);
     host.onTick(1_210);
-    list(host, 1_220, List.of());
-    list(host, 1_430, List.of());
+    answerPoll(host, 1_220, List.of());
+    answerPoll(host, 1_430, List.of());
     assertEquals(host.runCount(), 0);
   }
 
@@ -181,174 +182,176 @@
   public void anUnansweredStopIsRepeated() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
     host.stopRun(SESSION, run(0, 1), 1_010);
-    settle(host, 1_010);
-    host.stopAnswered("w1", run(0, 1), false, 1_110);
+    collectEffects(host, 1_010);
+    host.stopCallCompleted("w1", run(0, 1), false, 1_110);
     host.onTick(1_115);
-    settle(host, 1_115);
-    assertEquals(all(HostEffect.CallStop.class).size(), 1);
+    collectEffects(host, 1_115);
+    assertEquals(all(HostEffect.StopCall.class).size(), 1);
   }
 
   @Test
   public void aStopOfARunThatIsNotHereSaysThatItIsOver() {
     WorkerHost host = hostWithOwner(1_000);
     host.stopRun(SESSION, run(0, 1), 1_010);
-    settle(host, 1_010);
-    assertEquals(told(RunEnded.class), List.of(new RunEnded(run(0, 1), RunEnd.LOST, 0)));
+    collectEffects(host, 1_010);
+    assertEquals(sent(RunEnded.class), List.of(new RunEnded(run(0, 1), RunEnd.LOST, 0)));
   }
 
   @Test
   public void stopsTheRunsOfASilentOwner() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 5_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 5_000, true, 1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
     host.onTick(1_000 + TIMING.ownerLeaseMs() - 1);
-    settle(host, 1_649);
-    assertEquals(all(HostEffect.CallStop.class).size(), 0);
+    collectEffects(host, 1_649);
+    assertEquals(all(HostEffect.StopCall.class).size(), 0);
     host.onTick(1_000 + TIMING.ownerLeaseMs());
-    settle(host, 1_650);
-    assertEquals(all(HostEffect.CallStop.class).size(), 1);
+    collectEffects(host, 1_650);
+    assertEquals(all(HostEffect.StopCall.class).size(), 1);
     assertEquals(all(HostEffect.CloseSession.class).size(), 1);
   }
 
   @Test
   public void aBeatThatWasHeldUpRenewsNothing() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 5_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 5_000, true, 1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
     // Sent 100 ms after the first, it comes 600 ms after it.
-    host.ownerBeat(SESSION, 5_100, true, 1_600);
+    host.ownerHeartbeat(SESSION, 5_100, true, 1_600);
     host.onTick(1_100 + TIMING.ownerLeaseMs());
-    settle(host, 1_750);
+    collectEffects(host, 1_750);
     assertEquals(all(HostEffect.CloseSession.class).size(), 1);
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
   }
 
   @Test
   public void aBeatThatWasHeldUpLetsNothingStart() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 5_000, true, 1_000);
-    host.ownerBeat(SESSION, 5_100, true, 1_600);
-    settle(host, 1_600);
-    assertEquals(told(SessionProbe.class).size(), 1);
+    host.ownerHeartbeat(SESSION, 5_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 5_100, true, 1_600);
+    collectEffects(host, 1_600);
+    assertEquals(sent(SessionProbe.class).size(), 1);
     order(host, 1_100 + TIMING.ownerLeaseMs(), run(0, 1));
-    assertEquals(all(HostEffect.CallStart.class), List.of());
+    assertEquals(all(HostEffect.StartCall.class), List.of());
   }
 
   @Test
   public void startsNothingForAnOwnerWhoseLeaseIsOver() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000 + TIMING.ownerLeaseMs(), run(0, 1));
-    assertEquals(all(HostEffect.CallStart.class), List.of());
+    assertEquals(all(HostEffect.StartCall.class), List.of());
     // The owner hears of it: a beat may renew the lease before the session is closed.
-    assertEquals(told(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
+    assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
   }
 
   @Test
   public void tellsOnceTheRunsOfAFormerSessionAreOver() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
-    host.sessionBegan(SESSION + 1, "o", 1_010);
-    settle(host, 1_010);
-    assertFalse(told(SessionOpened.class).getFirst().formerRunsOver());
-    list(host, 1_060, List.of(), new HoldAnswer.Ended(1, run(0, 1), RunEnd.STOPPED));
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
+    host.sessionOpened(SESSION + 1, "o", 1_010);
+    collectEffects(host, 1_010);
+    assertFalse(sent(SessionOpened.class).getFirst().formerRunsOver());
+    answerPoll(host, 1_060, List.of(), new PollResult.Ended(1, run(0, 1), RunEnd.STOPPED));
     host.onTick(1_075);
-    settle(host, 1_075);
-    assertTrue(told(SessionOpened.class).getFirst().formerRunsOver());
+    collectEffects(host, 1_075);
+    assertTrue(sent(SessionOpened.class).getFirst().formerRunsOver());
   }
 
   @Test
   public void aRestartedHostSaysNothingOfItsLastLifeWhileThatLifesLeaseMayLast() {
-    WorkerHost host = KnownZones.none(WorkerHost.create("h", 2, "z", TIMING, 100, 1_000));
-    host.sessionBegan(SESSION, "o", 1_010);
-    settle(host, 1_010);
-    assertFalse(told(SessionOpened.class).getFirst().formerRunsOver());
-    host.ownerBeat(SESSION, 10, true, 1_010);
-    host.ownerBeat(SESSION, 500, true, 1_500);
+    WorkerHost host =
+        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 2, "z", TIMING, 100, 1_000));
+    host.sessionOpened(SESSION, "o", 1_010);
+    collectEffects(host, 1_010);
+    assertFalse(sent(SessionOpened.class).getFirst().formerRunsOver());
+    host.ownerHeartbeat(SESSION, 10, true, 1_010);
+    host.ownerHeartbeat(SESSION, 500, true, 1_500);
     host.onTick(1_000 + QUIET_MS - 1);
-    settle(host, 1_000 + QUIET_MS - 1);
-    assertEquals(told(SessionOpened.class), List.of());
+    collectEffects(host, 1_000 + QUIET_MS - 1);
+    assertEquals(sent(SessionOpened.class), List.of());
     host.onTick(1_000 + QUIET_MS);
-    settle(host, 1_000 + QUIET_MS);
-    assertTrue(told(SessionOpened.class).getFirst().formerRunsOver());
+    collectEffects(host, 1_000 + QUIET_MS);
+    assertTrue(sent(SessionOpened.class).getFirst().formerRunsOver());
   }
 
   @Test
   public void givesOutNoRoomWhileRunsOfItsLastLifeAreThere() {
-    WorkerHost host = KnownZones.none(WorkerHost.create("h", 2, "z", TIMING, 100, 1_000));
-    host.sessionBegan(SESSION, "o", 1_010);
-    host.workerSeen(worker("w1", false, 1), 1_020);
+    WorkerHost host =
+        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 2, "z", TIMING, 100, 1_000));
+    host.sessionOpened(SESSION, "o", 1_010);
+    host.workerHeartbeat(worker("w1", false, 1), 1_020);
     order(host, 1_030, run(0, 1));
-    assertEquals(told(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
-    list(host, 1_040, List.of(run(9, 4)));
+    assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
+    answerPoll(host, 1_040, List.of(run(9, 4)));
     order(host, 1_050, run(0, 2));
-    assertEquals(told(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
-    list(host, 1_100, List.of());
+    assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
+    answerPoll(host, 1_100, List.of());
     order(host, 1_110, run(0, 3));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   @Test
   public void twoLostCallsDoNotMakeAWorkerSilent() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_100);
-    settle(host, 1_100);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_200);
-    settle(host, 1_200);
-    assertEquals(all(HostEffect.CallHold.class).size(), 1);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_100);
+    collectEffects(host, 1_100);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_200);
+    collectEffects(host, 1_200);
+    assertEquals(all(HostEffect.PollCall.class).size(), 1);
     order(host, 1_210, run(1, 1));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_400);
-    settle(host, 1_400);
-    assertEquals(told(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.SILENT);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_400);
+    collectEffects(host, 1_400);
+    assertEquals(sent(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.SILENT);
   }
 
   @Test
   public void runsOfASilentWorkerAreLostOnceItsLeaseIsOver() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_400);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_500);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_600);
-    host.ownerBeat(SESSION, 8_600, true, 1_000);
-    host.ownerBeat(SESSION, 9_000, true, 1_400);
-    settle(host, 1_600);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_400);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_500);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_600);
+    host.ownerHeartbeat(SESSION, 8_600, true, 1_000);
+    host.ownerHeartbeat(SESSION, 9_000, true, 1_400);
+    collectEffects(host, 1_600);
     // The call after a lost one renews no lease, so the start was the last that did.
     host.onTick(1_000 + QUIET_MS - 1);
-    settle(host, 1_000 + QUIET_MS - 1);
-    assertEquals(told(RunEnded.class), List.of());
+    collectEffects(host, 1_000 + QUIET_MS - 1);
+    assertEquals(sent(RunEnded.class), List.of());
     host.onTick(1_000 + QUIET_MS);
-    settle(host, 1_000 + QUIET_MS);
-    assertEquals(told(RunEnded.class), List.of(new RunEnded(run(0, 1), RunEnd.LOST, 0)));
+    collectEffects(host, 1_000 + QUIET_MS);
+    assertEquals(sent(RunEnded.class), List.of(new RunEnded(run(0, 1), RunEnd.LOST, 0)));
   }
 
   @Test
   public void aSilentWorkersLeaseIsNotRenewed() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_200);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_300);
-    host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_400);
-    settle(host, 1_400);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_200);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_300);
+    host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_400);
+    collectEffects(host, 1_400);
     host.onTick(1_500);
-    settle(host, 1_500);
-    assertEquals(all(HostEffect.CallHold.class).getFirst().deadlineMs(), 0);
+    collectEffects(host, 1_500);
+    assertEquals(all(HostEffect.PollCall.class).getFirst().deadlineMs(), 0);
   }
 
   @Test
   public void anotherLifeThatAnswersAtTheSameAddressEndsTheRunsOfTheLast() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.workerSeen(worker("w2", false, 1), 1_100);
-    host.holdAnswered("w2", HoldAnswers.listed(1_101, List.of()), 1_101);
-    settle(host, 1_101);
-    assertEquals(told(RunEnded.class).getFirst().end(), RunEnd.LOST);
+    host.workerHeartbeat(worker("w2", false, 1), 1_100);
+    host.pollCallCompleted("w2", PollResults.listed(1_101, List.of()), 1_101);
+    collectEffects(host, 1_101);
+    assertEquals(sent(RunEnded.class).getFirst().end(), RunEnd.LOST);
     assertEquals(host.workerCount(), 1);
   }
 
@@ -361,118 +364,118 @@
   public void aLateHeartbeatOfACrashedLifeEndsNothing() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.workerSeen(worker("w0", false, 7), 1_100);
-    settle(host, 1_100);
-    assertEquals(told(RunEnded.class), List.of());
-    assertEquals(all(HostEffect.CallHold.class).getFirst().workerId(), "w0");
-    host.holdAnswered("w0", new HoldAnswer.Gone(), 1_101);
-    settle(host, 1_101);
-    assertEquals(told(RunEnded.class), List.of());
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_102);
-    list(host, 1_110, List.of(), new HoldAnswer.Ended(1, run(0, 1), RunEnd.DONE));
-    assertEquals(told(RunEnded.class).getFirst().end(), RunEnd.DONE);
+    host.workerHeartbeat(worker("w0", false, 7), 1_100);
+    collectEffects(host, 1_100);
+    assertEquals(sent(RunEnded.class), List.of());
+    assertEquals(all(HostEffect.PollCall.class).getFirst().workerId(), "w0");
+    host.pollCallCompleted("w0", new PollResult.OtherInstance(), 1_101);
+    collectEffects(host, 1_101);
+    assertEquals(sent(RunEnded.class), List.of());
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_102);
+    answerPoll(host, 1_110, List.of(), new PollResult.Ended(1, run(0, 1), RunEnd.DONE));
+    assertEquals(sent(RunEnded.class).getFirst().end(), RunEnd.DONE);
   }
 
   @Test
   public void aDrainingWorkerGetsNothingNew() {
     WorkerHost host = hostWithOwner(1_000);
-    host.workerSeen(worker("w1", true, 2), 1_010);
-    settle(host, 1_010);
+    host.workerHeartbeat(worker("w1", true, 2), 1_010);
+    collectEffects(host, 1_010);
     assertEquals(
-        told(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.DRAINING);
+        sent(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.DRAINING);
     // An older account that overtook the newer one changes nothing.
-    host.workerSeen(worker("w1", false, 1), 1_020);
+    host.workerHeartbeat(worker("w1", false, 1), 1_020);
     order(host, 1_030, run(0, 1));
-    assertEquals(told(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
+    assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
   }
 
   @Test
   public void aHigherTokenFollowsARefusalForItsToken() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    long before = all(HostEffect.CallStart.class).getFirst().token();
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Fenced(501_000), 1_002);
-    settle(host, 1_002);
-    assertTrue(all(HostEffect.CallStart.class).getFirst().token() > before);
+    long before = all(HostEffect.StartCall.class).getFirst().token();
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Fenced(501_000), 1_002);
+    collectEffects(host, 1_002);
+    assertTrue(all(HostEffect.StartCall.class).getFirst().token() > before);
   }
 
   @Test
   public void stopsARunThatItDoesNotKnow() {
     WorkerHost host = hostWithOwner(1_000);
-    list(host, 1_010, List.of(run(9, 3)));
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(9, 3));
+    answerPoll(host, 1_010, List.of(run(9, 3)));
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(9, 3));
   }
 
   @Test
   public void aWorkerThatFailsEverythingIsShownAsFailing() {
     WorkerHost host = hostWithOwner(1_000);
-    list(
+    answerPoll(
         host,
         1_010,
         List.of(),
-        new HoldAnswer.Ended(1, run(0, 1), RunEnd.FAILED),
-        new HoldAnswer.Ended(2, run(1, 1), RunEnd.FAILED),
-        new HoldAnswer.Ended(3, run(2, 1), RunEnd.FAILED));
-    assertEquals(told(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.FAILING);
+        new PollResult.Ended(1, run(0, 1), RunEnd.FAILED),
+        new PollResult.Ended(2, run(1, 1), RunEnd.FAILED),
+        new PollResult.Ended(3, run(2, 1), RunEnd.FAILED));
+    assertEquals(sent(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.FAILING);
   }
 
   @Test
   public void aPlannedStopTakesNothingNewAndWaitsForTheRest() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.stopTaking();
+    host.stopAcceptingRuns();
     order(host, 1_010, run(1, 1));
-    assertEquals(told(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
+    assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
     assertFalse(host.isIdle());
-    list(host, 1_100, List.of(), new HoldAnswer.Ended(1, run(0, 1), RunEnd.DONE));
+    answerPoll(host, 1_100, List.of(), new PollResult.Ended(1, run(0, 1), RunEnd.DONE));
     assertTrue(host.isIdle());
   }
 
   @Test
   public void theFirstListOfAWorkerIsAskedForWithoutAWait() {
     WorkerHost host =
-        KnownZones.none(WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - QUIET_MS));
-    host.workerSeen(worker("w1", false, 1), 1_000);
-    settle(host, 1_000);
-    assertEquals(all(HostEffect.CallHold.class).getFirst().waitMs(), 0);
-    list(host, 1_002, List.of());
-    assertTrue(all(HostEffect.CallHold.class).getFirst().waitMs() > 0);
+        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - QUIET_MS));
+    host.workerHeartbeat(worker("w1", false, 1), 1_000);
+    collectEffects(host, 1_000);
+    assertEquals(all(HostEffect.PollCall.class).getFirst().waitMs(), 0);
+    answerPoll(host, 1_002, List.of());
+    assertTrue(all(HostEffect.PollCall.class).getFirst().waitMs() > 0);
   }
 
   @Test
   public void anOwnerThatDoesNotFollowIsShownRoomWithItsBeatsOnly() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, false, 1_000);
-    settle(host, 1_000);
+    host.ownerHeartbeat(SESSION, 1_000, false, 1_000);
+    collectEffects(host, 1_000);
     order(host, 1_200, run(0, 1));
-    settle(host, 1_400);
-    assertEquals(told(HostRows.class), List.of());
-    host.ownerBeat(SESSION, 1_450, false, 1_450);
-    settle(host, 1_450);
-    HostRows shown = told(HostRows.class).getFirst();
+    collectEffects(host, 1_400);
+    assertEquals(sent(HostRows.class), List.of());
+    host.ownerHeartbeat(SESSION, 1_450, false, 1_450);
+    collectEffects(host, 1_450);
+    HostRows shown = sent(HostRows.class).getFirst();
     assertEquals(shown.workers().getFirst().free(), Rooms.minus(CAPACITY, NEED));
   }
 
   @Test
   public void everyOwnerIsShownAtOnceThatAWorkerTakesNothing() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, false, 1_000);
-    settle(host, 1_000);
-    host.workerSeen(worker("w1", true, 2), 1_010);
-    settle(host, 1_010);
-    HostRows shown = told(HostRows.class).getFirst();
+    host.ownerHeartbeat(SESSION, 1_000, false, 1_000);
+    collectEffects(host, 1_000);
+    host.workerHeartbeat(worker("w1", true, 2), 1_010);
+    collectEffects(host, 1_010);
+    HostRows shown = sent(HostRows.class).getFirst();
     assertEquals(shown.workers().getFirst().state(), WorkerState.DRAINING);
   }
 
   @Test
   public void aBeatIsAnsweredUnlessTheWorkersWereShownAMomentAgo() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_050, true, 1_050);
-    settle(host, 1_050);
-    assertEquals(told(HostRows.class), List.of());
-    host.ownerBeat(SESSION, 1_230, true, 1_230);
-    settle(host, 1_230);
-    assertEquals(told(HostRows.class).size(), 1);
+    host.ownerHeartbeat(SESSION, 1_050, true, 1_050);
+    collectEffects(host, 1_050);
+    assertEquals(sent(HostRows.class), List.of());
+    host.ownerHeartbeat(SESSION, 1_230, true, 1_230);
+    collectEffects(host, 1_230);
+    assertEquals(sent(HostRows.class).size(), 1);
   }
 
   @Test
@@ -480,76 +483,77 @@
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1), run(1, 1));
     for (int i = 0; i < 2; i++) {
-      host.startAnswered("w1", run(i, 1), new StartAnswer.Started(501_000), 1_001);
+      host.startCallCompleted("w1", run(i, 1), new StartResult.Started(501_000), 1_001);
     }
-    list(host, 1_010, List.of(run(0, 1), run(1, 1)));
-    list(host, 1_060, List.of(run(0, 1), run(1, 1)));
-    list(host, 1_110, List.of(run(0, 1), run(1, 1)));
-    assertEquals(told(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.STALLED);
+    answerPoll(host, 1_010, List.of(run(0, 1), run(1, 1)));
+    answerPoll(host, 1_060, List.of(run(0, 1), run(1, 1)));
+    answerPoll(host, 1_110, List.of(run(0, 1), run(1, 1)));
+    assertEquals(sent(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.STALLED);
   }
 
   /** A start without an answer may be carried out seconds later, when its job is long cancelled. */
   @Test
   public void aRunThatBeginsAfterItWasGivenUpIsStoppedAndKeepsRoomFromOthers() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_000, run(0, 1));
     for (int call = 1; call <= 3; call++) {
-      host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_000 + 30 * call);
-      host.holdAnswered("w1", new HoldAnswer.Unanswered(), 1_000 + 30 * call);
+      host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_000 + 30 * call);
+      host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_000 + 30 * call);
     }
     host.stopRun(SESSION, run(0, 1), 1_100);
     long lostAtMs = 1_090 + QUIET_MS;
-    host.ownerBeat(SESSION, lostAtMs, true, lostAtMs);
+    host.ownerHeartbeat(SESSION, lostAtMs, true, lostAtMs);
     host.onTick(lostAtMs);
-    settle(host, lostAtMs);
-    assertEquals(told(RunEnded.class), List.of(new RunEnded(run(0, 1), RunEnd.LOST, 0)));
-
-    list(host, 4_000, List.of(run(0, 1)));
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
-    host.ownerBeat(SESSION, 4_000, true, 4_000);
-    settle(host, 4_000);
-    assertEquals(told(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.SILENT);
-    list(host, 4_060, List.of(), new HoldAnswer.Ended(1, run(0, 1), RunEnd.STOPPED));
+    collectEffects(host, lostAtMs);
+    assertEquals(sent(RunEnded.class), List.of(new RunEnded(run(0, 1), RunEnd.LOST, 0)));
+
+    answerPoll(host, 4_000, List.of(run(0, 1)));
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
+    host.ownerHeartbeat(SESSION, 4_000, true, 4_000);
+    collectEffects(host, 4_000);
+    assertEquals(sent(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.SILENT);
+    answerPoll(host, 4_060, List.of(), new PollResult.Ended(1, run(0, 1), RunEnd.STOPPED));
     order(host, 4_061, run(1, 1));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   /** The host that started it is gone; the one that took its place on the box never ordered it. */
   @Test
   public void aRunWhoseStarterWasRemovedIsStoppedUntilItsEndIsListed() {
-    WorkerHost successor = KnownZones.none(WorkerHost.create("h", 2, "z", TIMING, 200, 1_000));
-    successor.workerSeen(worker("w1", false, 1), 1_000);
-    list(successor, 1_002, List.of(run(0, 1)));
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
-    successor.stopAnswered("w1", run(0, 1), false, 1_030);
-    list(successor, 1_060, List.of(run(0, 1)));
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
-    list(successor, 1_120, List.of());
-    assertEquals(all(HostEffect.CallStop.class), List.of());
+    WorkerHost successor =
+        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 2, "z", TIMING, 200, 1_000));
+    successor.workerHeartbeat(worker("w1", false, 1), 1_000);
+    answerPoll(successor, 1_002, List.of(run(0, 1)));
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
+    successor.stopCallCompleted("w1", run(0, 1), false, 1_030);
+    answerPoll(successor, 1_060, List.of(run(0, 1)));
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
+    answerPoll(successor, 1_120, List.of());
+    assertEquals(all(HostEffect.StopCall.class), List.of());
   }
 
   /** Returns what the host does about a start whose answer it hears after it stood still. */
-  private void hearsOfAStartTooLate(StartAnswer answer) {
+  private void hearsOfAStartTooLate(StartResult answer) {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_010, run(0, 1));
-    host.startAnswered("w1", run(0, 1), answer, 1_010 + TIMING.ownerLeaseMs());
-    settle(host, 1_010 + TIMING.ownerLeaseMs());
+    host.startCallCompleted("w1", run(0, 1), answer, 1_010 + TIMING.ownerLeaseMs());
+    collectEffects(host, 1_010 + TIMING.ownerLeaseMs());
   }
 
   /** The owner has given this host up meanwhile, and may have started the task elsewhere. */
   @Test
   public void noStartIsRepeatedForAnOwnerWhoseLeaseIsOver() {
-    hearsOfAStartTooLate(new StartAnswer.Unanswered());
-    assertEquals(all(HostEffect.CallStart.class), List.of());
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
+    hearsOfAStartTooLate(new StartResult.Unanswered());
+    assertEquals(all(HostEffect.StartCall.class), List.of());
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
 
-    hearsOfAStartTooLate(new StartAnswer.Fenced(501_000));
-    assertEquals(all(HostEffect.CallStart.class), List.of());
+    hearsOfAStartTooLate(new StartResult.Fenced(501_000));
+    assertEquals(all(HostEffect.StartCall.class), List.of());
 
-    hearsOfAStartTooLate(new StartAnswer.Late(501_000));
-    assertEquals(all(HostEffect.CallStart.class), List.of());
+    hearsOfAStartTooLate(new StartResult.Late(501_000));
+    assertEquals(all(HostEffect.StartCall.class), List.of());
   }
 
   /**
@@ -560,44 +564,44 @@
   public void inAnEvacuatedZoneNothingStartsAndWhatRunsGoesOn() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_001);
-    assertTrue(host.zonesLearned(new EvacuatedZones(1, List.of("z")), "replica", 1_010));
-    settle(host, 1_010);
-    assertEquals(told(HostRows.class).getLast().workers().getFirst().state(), WorkerState.DRAINING);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_001);
+    assertTrue(host.evacuatedZonesReceived(new EvacuatedZones(1, List.of("z")), "replica", 1_010));
+    collectEffects(host, 1_010);
+    assertEquals(sent(HostRows.class).getLast().workers().getFirst().state(), WorkerState.DRAINING);
     order(host, 1_020, run(1, 1));
     assertEquals(
-        told(RunNotStarted.class),
+        sent(RunNotStarted.class),
         List.of(new RunNotStarted(run(1, 1), RunRefusal.ZONE_EVACUATED)));
-    assertEquals(all(HostEffect.CallStart.class), List.of());
-    assertEquals(all(HostEffect.CallStop.class), List.of());
+    assertEquals(all(HostEffect.StartCall.class), List.of());
+    assertEquals(all(HostEffect.StopCall.class), List.of());
     assertEquals(host.refusedForZoneCount(), 1);
-    list(host, 1_100, List.of(), new HoldAnswer.Ended(1, run(0, 1), RunEnd.DONE));
-    assertEquals(told(RunEnded.class).getFirst().end(), RunEnd.DONE);
-    host.zonesLearned(new EvacuatedZones(2, List.of()), "replica", 1_200);
+    answerPoll(host, 1_100, List.of(), new PollResult.Ended(1, run(0, 1), RunEnd.DONE));
+    assertEquals(sent(RunEnded.class).getFirst().end(), RunEnd.DONE);
+    host.evacuatedZonesReceived(new EvacuatedZones(2, List.of()), "replica", 1_200);
     order(host, 1_210, run(1, 2));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   @Test
   public void theEvacuationOfAnotherZoneChangesNothing() {
     WorkerHost host = hostWithOwner(1_000);
-    host.zonesLearned(new EvacuatedZones(1, List.of("other")), "replica", 1_010);
+    host.evacuatedZonesReceived(new EvacuatedZones(1, List.of("other")), "replica", 1_010);
     order(host, 1_020, run(0, 1));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   /** A box may have been away while its zone was evacuated. */
   @Test
   public void aHostThatHasNotHeardOfTheZonesStartsNothing() {
     WorkerHost host = WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - QUIET_MS);
-    host.workerSeen(worker("w1", false, 1), 1_000);
-    host.sessionBegan(SESSION, "o", 1_000);
-    list(host, 1_000, List.of());
+    host.workerHeartbeat(worker("w1", false, 1), 1_000);
+    host.sessionOpened(SESSION, "o", 1_000);
+    answerPoll(host, 1_000, List.of());
     order(host, 1_010, run(0, 1));
-    assertEquals(told(RunNotStarted.class).getFirst().reason(), RunRefusal.ZONE_EVACUATED);
-    host.zonesLearned(new EvacuatedZones(0, List.of()), "replica", 1_020);
+    assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.ZONE_EVACUATED);
+    host.evacuatedZonesReceived(new EvacuatedZones(0, List.of()), "replica", 1_020);
     order(host, 1_021, run(0, 2));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   /** A start whose answer was lost would otherwise be sent again after the evacuation. */
@@ -605,53 +609,53 @@
   public void aStartWithoutAnAnswerIsNotRepeatedOnceTheZoneIsEvacuated() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    host.zonesLearned(new EvacuatedZones(1, List.of("z")), "replica", 1_010);
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Unanswered(), 1_025);
-    settle(host, 1_025);
-    assertEquals(all(HostEffect.CallStart.class), List.of());
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
+    host.evacuatedZonesReceived(new EvacuatedZones(1, List.of("z")), "replica", 1_010);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_025);
+    collectEffects(host, 1_025);
+    assertEquals(all(HostEffect.StartCall.class), List.of());
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
   }
 
   /** Pairs of an owner and a host without a run between them renew no lease. */
   @Test
   public void aSessionWithoutRunsOutlivesItsLeaseAndTakesItUpAgain() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     host.onTick(1_000 + RunTiming.IDLE_SESSION_MS - 1);
-    settle(host, 1_000 + RunTiming.IDLE_SESSION_MS - 1);
+    collectEffects(host, 1_000 + RunTiming.IDLE_SESSION_MS - 1);
     assertEquals(all(HostEffect.CloseSession.class), List.of());
-    host.ownerBeat(SESSION, 3_000, true, 3_000);
+    host.ownerHeartbeat(SESSION, 3_000, true, 3_000);
     order(host, 3_001, run(0, 1));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   @Test
   public void anOrderThatComesWithoutALeaseIsRefused() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_000 + TIMING.ownerLeaseMs(), run(0, 1));
-    assertEquals(told(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
+    assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
   }
 
   @Test
   public void aSessionWithoutRunsIsOverOnceHeartbeatsAreMissing() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     host.onTick(1_000 + RunTiming.IDLE_SESSION_MS);
-    settle(host, 1_000 + RunTiming.IDLE_SESSION_MS);
+    collectEffects(host, 1_000 + RunTiming.IDLE_SESSION_MS);
     assertEquals(all(HostEffect.CloseSession.class).size(), 1);
   }
 
   @Test
   public void aLeaseThatEndsWhileARunGoesOnEndsTheSession() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 1_000, true, 1_000);
+    host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_001, run(0, 1));
-    host.startAnswered("w1", run(0, 1), new StartAnswer.Started(501_000), 1_002);
+    host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
     host.onTick(1_000 + TIMING.ownerLeaseMs());
-    settle(host, 1_000 + TIMING.ownerLeaseMs());
+    collectEffects(host, 1_000 + TIMING.ownerLeaseMs());
     assertEquals(all(HostEffect.CloseSession.class).size(), 1);
-    assertEquals(all(HostEffect.CallStop.class).getFirst().run(), run(0, 1));
+    assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
   }
 
   /**
@@ -662,25 +666,25 @@
   @Test
   public void aSlowFirstHeartbeatLetsClocksBeComparedAnew() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 5_600, true, 1_600);
-    settle(host, 1_600);
+    host.ownerHeartbeat(SESSION, 5_600, true, 1_600);
+    collectEffects(host, 1_600);
     assertEquals(all(HostEffect.CloseSession.class), List.of());
-    SessionProbe probe = told(SessionProbe.class).getFirst();
+    SessionProbe probe = sent(SessionProbe.class).getFirst();
     order(host, 1_650, run(0, 1));
-    assertEquals(all(HostEffect.CallStart.class), List.of());
+    assertEquals(all(HostEffect.StartCall.class), List.of());
     host.sessionProven(SESSION, probe.number(), 5_650, 1_652);
-    host.ownerBeat(SESSION, 5_700, true, 1_702);
+    host.ownerHeartbeat(SESSION, 5_700, true, 1_702);
     order(host, 1_703, run(0, 2));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
   @Test
   public void clocksThatAreBeingComparedAreNotAskedForAgain() {
     WorkerHost host = hostWithOwner(1_000);
-    host.ownerBeat(SESSION, 5_600, true, 1_600);
-    host.ownerBeat(SESSION, 5_610, true, 1_610);
-    settle(host, 1_610);
-    assertEquals(told(SessionProbe.class).size(), 1);
+    host.ownerHeartbeat(SESSION, 5_600, true, 1_600);
+    host.ownerHeartbeat(SESSION, 5_610, true, 1_610);
+    collectEffects(host, 1_610);
+    assertEquals(sent(SessionProbe.class).size(), 1);
   }
 
   /**
@@ -689,11 +693,11 @@
   @Test
   public void aHeartbeatThatNamesAnotherServiceForAKnownWorkerChangesNothing() {
     WorkerHost host = hostWithOwner(1_000);
-    host.workerSeen(
+    host.workerHeartbeat(
         new WorkerInfo("w1", "other", "10.0.0.1:1", "z", true, CAPACITY, List.of(), 9, 500_000),
         1_010);
-    host.workerSeen(worker("w1", false, 2), 1_020);
+    host.workerHeartbeat(worker("w1", false, 2), 1_020);
     order(host, 1_030, run(0, 1));
-    assertEquals(all(HostEffect.CallStart.class).size(), 1);
+    assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 }
--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -32,9 +32,9 @@
 import io.hingehoist.net.ZoneGauges;
 import io.hingehoist.quorum.ControlAddresses;
 import io.hingehoist.run.RunTiming;
-import io.hingehoist.run.host.HoldAnswer;
 import io.hingehoist.run.host.HostEffect;
-import io.hingehoist.run.host.StartAnswer;
+import io.hingehoist.run.host.PollResult;
+import io.hingehoist.run.host.StartResult;
 import io.hingehoist.run.host.WorkerHost;
 import io.hingehoist.run.host.WorkerInfo;
 import io.hingehoist.settings.HostSection;
@@ -160,7 +160,7 @@
     boolean ended =
         loop.stop(
             nowMs -> {
-              host.stopTaking();
+              host.stopAcceptingRuns();
               log.write("stopping", node.nodeId(), "runs=" + host.runCount());
             });
     log.write("stopped", node.nodeId(), "allRunsEnded=" + ended);
@@ -171,22 +171,22 @@
 
   @Override
   public void settle(long nowMs) {
-    host.showRows(nowMs);
-    host.takeEffects().forEach(this::carryOut);
+    host.publishWorkers(nowMs);
+    host.drainEffects().forEach(this::carryOut);
   }
 
   private void carryOut(HostEffect effect) {
     switch (effect) {
-      case HostEffect.CallStart call ->
+      case HostEffect.StartCall call ->
           workers.start(call, loop.settling(answer -> started(call, answer)));
-      case HostEffect.CallStop call ->
+      case HostEffect.StopCall call ->
           workers.stop(call, loop.settling(answered -> stopped(call, answered)));
-      case HostEffect.CallHold call ->
+      case HostEffect.PollCall call ->
           workers.hold(call, loop.settling(answer -> listed(call, answer)));
-      case HostEffect.ForgetAddress forget -> workers.forget(forget.address());
-      case HostEffect.ToOwner to -> owners.send(to.sessionId(), to.message());
+      case HostEffect.CloseConnections forget -> workers.forget(forget.address());
+      case HostEffect.SendToOwner to -> owners.send(to.sessionId(), to.message());
       case HostEffect.CloseSession session -> owners.close(session.sessionId());
-      case HostEffect.Noted noted -> log.write(noted.decision());
+      case HostEffect.LogDecision noted -> log.write(noted.decision());
     }
   }
 
@@ -199,19 +199,19 @@
     }
   }
 
-  private void started(HostEffect.CallStart call, StartAnswer answer) {
+  private void started(HostEffect.StartCall call, StartResult answer) {
     checkSleep();
-    host.startAnswered(call.lifeId(), call.run(), answer, EventLoop.nowMs());
+    host.startCallCompleted(call.instanceId(), call.run(), answer, EventLoop.nowMs());
   }
 
-  private void stopped(HostEffect.CallStop call, boolean answered) {
+  private void stopped(HostEffect.StopCall call, boolean answered) {
     checkSleep();
-    host.stopAnswered(call.lifeId(), call.run(), answered, EventLoop.nowMs());
+    host.stopCallCompleted(call.instanceId(), call.run(), answered, EventLoop.nowMs());
   }
 
-  private void listed(HostEffect.CallHold call, HoldAnswer answer) {
+  private void listed(HostEffect.PollCall call, PollResult answer) {
     checkSleep();
-    host.holdAnswered(call.lifeId(), answer, EventLoop.nowMs());
+    host.pollCallCompleted(call.instanceId(), answer, EventLoop.nowMs());
   }
 
   // What workers, owners and control replicas say.
@@ -225,7 +225,7 @@
       return Optional.of(
           new IgnoredHeartbeat(info.workerId(), IgnoredHeartbeat.Problem.OTHER_SERVICE, detail));
     }
-    host.workerSeen(info, EventLoop.nowMs());
+    host.workerHeartbeat(info, EventLoop.nowMs());
     loop.settleLater();
     return Optional.empty();
   }
@@ -252,7 +252,7 @@
 
   /** An owner that reaches no control replica hears of a change from hosts that do. */
   private void learnZones(EvacuatedZones zones, String source) {
-    if (host.zonesLearned(zones, source, EventLoop.nowMs())) {
+    if (host.evacuatedZonesReceived(zones, source, EventLoop.nowMs())) {
       owners.sendToAll(zones);
       loop.settleLater();
     }
@@ -261,7 +261,7 @@
   private final class OwnerListener implements OwnerLinks.Listener {
     @Override
     public void onBegan(long sessionId, String ownerId) {
-      host.sessionBegan(sessionId, ownerId, EventLoop.nowMs());
+      host.sessionOpened(sessionId, ownerId, EventLoop.nowMs());
       loop.settleLater();
     }
 
@@ -270,8 +270,8 @@
       checkSleep();
       long now = EventLoop.nowMs();
       switch (message) {
-        case OwnerBeat beat -> host.ownerBeat(sessionId, beat.sentAtMs(), beat.follows(), now);
-        case OwnerWaiting news -> host.ownerWaiting(sessionId, news, now);
+        case OwnerBeat beat -> host.ownerHeartbeat(sessionId, beat.sentAtMs(), beat.follows(), now);
+        case OwnerWaiting news -> host.updateWaitingTasks(sessionId, news, now);
         case StartRuns order -> host.startRuns(sessionId, order, now);
         case SessionProof proof ->
             host.sessionProven(sessionId, proof.number(), proof.sentAtMs(), now);
