--- a/core/src/main/java/io/hingehoist/control/ControlState.java
+++ b/core/src/main/java/io/hingehoist/control/ControlState.java
@@ -298,8 +298,8 @@
   }
 
   /** Returns the state that an agent is to act on: no new work in an evacuated zone. */
-  public MemberState actingState(AgentInfo agent) {
-    return members.actingState(agent);
+  public MemberState effectiveState(AgentInfo agent) {
+    return members.effectiveState(agent);
   }
 
   /** Returns whether an incarnation of an entry is live. */
@@ -338,8 +338,8 @@
   }
 
   /** Returns the jobs that an entry must take over. */
-  public List<OwnedJob> adoptedBy(String entryId, long incarnation, List<Long> knownJobIds) {
-    return jobs.adoptedBy(entryId, incarnation, knownJobIds).stream()
+  public List<OwnedJob> jobsAdoptedBy(String entryId, long incarnation, List<Long> knownJobIds) {
+    return jobs.jobsAdoptedBy(entryId, incarnation, knownJobIds).stream()
         .map(row -> new OwnedJob(row.jobId(), row.epoch()))
         .toList();
   }
--- a/core/src/main/java/io/hingehoist/control/JobTable.java
+++ b/core/src/main/java/io/hingehoist/control/JobTable.java
@@ -73,7 +73,7 @@
   }
 
   /** Returns the running jobs that an entry took over from another, except some that it knows. */
-  List<JobRow> adoptedBy(String entryId, long incarnation, List<Long> knownJobIds) {
+  List<JobRow> jobsAdoptedBy(String entryId, long incarnation, List<Long> knownJobIds) {
     List<JobRow> adopted = new ArrayList<>();
     for (JobRow row : running.values()) {
       boolean owned = row.ownerEntryId().equals(entryId) && row.ownerIncarnation() == incarnation;
--- a/core/src/main/java/io/hingehoist/control/Liveness.java
+++ b/core/src/main/java/io/hingehoist/control/Liveness.java
@@ -44,12 +44,12 @@
   }
 
   /** Notes that a member was heard. */
-  public void heard(Role role, String nodeId, long incarnation, long nowMs) {
+  public void recordHeartbeat(Role role, String nodeId, long incarnation, long nowMs) {
     heardAtMs.put(new Member(role, nodeId, incarnation), nowMs);
   }
 
   /** Returns the commands that end the members which have been silent for too long. */
-  public List<Command> dueCommands(ControlState state, long nowMs) {
+  public List<Command> expiryCommands(ControlState state, long nowMs) {
     List<Command> due = new ArrayList<>();
     for (EntryRow row : state.entries()) {
       if (row.live() && isSilent(Role.ENTRY, row.entryId(), row.incarnation(), nowMs)) {
--- a/core/src/main/java/io/hingehoist/control/MemberTable.java
+++ b/core/src/main/java/io/hingehoist/control/MemberTable.java
@@ -199,14 +199,14 @@
     List<AgentInfo> present = new ArrayList<>();
     for (AgentRow row : agents.values()) {
       if (row.info().state() != MemberState.GONE) {
-        present.add(withState(row.info(), actingState(row.info())));
+        present.add(withState(row.info(), effectiveState(row.info())));
       }
     }
     return Optional.of(new MembersUpdate(version, present));
   }
 
   /** Returns the state that an agent is to act on: no new work in an evacuated zone. */
-  MemberState actingState(AgentInfo agent) {
+  MemberState effectiveState(AgentInfo agent) {
     boolean emptied = agent.state() == MemberState.LIVE && evacuations.isEvacuated(agent.zone());
     return emptied ? MemberState.DRAINING : agent.state();
   }
--- a/core/src/main/java/io/hingehoist/control/SettingsTable.java
+++ b/core/src/main/java/io/hingehoist/control/SettingsTable.java
@@ -72,7 +72,7 @@
           "changeId: value \"%s\" was used for another change; allowed: an unused id"
               .formatted(change.changeId()));
     }
-    Optional<String> problem = SettingsTree.problem(change.path(), change.key(), change.value());
+    Optional<String> problem = SettingsTree.validate(change.path(), change.key(), change.value());
     if (problem.isPresent()) {
       return refused(SettingsRefusalReason.INVALID, problem.get());
     }
--- a/core/src/main/java/io/hingehoist/directory/PeerDirectory.java
+++ b/core/src/main/java/io/hingehoist/directory/PeerDirectory.java
@@ -45,7 +45,7 @@
   }
 
   /** Notes what a process tells of itself. */
-  public void told(Peer peer, long nowMs) {
+  public void recordAnnounced(Peer peer, long nowMs) {
     Row row = take(peer, nowMs);
     if (row != null) {
       row.toldAtMs = nowMs;
@@ -53,7 +53,7 @@
   }
 
   /** Notes what others tell of a process. */
-  public void learned(Peer peer, long nowMs) {
+  public void recordRelayed(Peer peer, long nowMs) {
     take(peer, nowMs);
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** Notes that one who knows says that nothing has changed. */
-  public void confirmed(long nowMs) {
+  public void refreshAll(long nowMs) {
     rows.values().forEach(row -> row.heardAtMs = nowMs);
   }
 
@@ -103,7 +103,7 @@
   }
 
   /** Returns the processes that told of themselves a moment ago. */
-  public List<Peer> fresh(long nowMs) {
+  public List<Peer> recentlyAnnounced(long nowMs) {
     return rows.values().stream()
         .filter(row -> nowMs - row.toldAtMs <= FRESH_MS)
         .map(row -> row.peer)
--- a/core/src/main/java/io/hingehoist/replication/Replica.java
+++ b/core/src/main/java/io/hingehoist/replication/Replica.java
@@ -121,7 +121,7 @@
   }
 
   /** Takes note of where replicas are, so that this one can ask to join. */
-  public void knowAddresses(List<String> addresses) {
+  public void updateKnownAddresses(List<String> addresses) {
     knownAddresses = List.copyOf(addresses);
   }
 
@@ -208,7 +208,7 @@
         new VoteRequest(campaignTerm, id, address, log.lastIndex(), log.lastTerm(), preVote);
     for (ReplicaInfo voter : log.voters().voters()) {
       if (!voter.replicaId().equals(id)) {
-        effects.add(new ReplicaEffect.SendDurable(voter.address(), request));
+        effects.add(new ReplicaEffect.SendAfterSync(voter.address(), request));
       }
     }
     countVotes(nowMs);
@@ -323,7 +323,7 @@
   private void answerVote(VoteRequest request, long answerTerm, boolean granted) {
     long shownTerm = granted ? answerTerm : term;
     VoteResponse response = new VoteResponse(shownTerm, id, granted, request.preVote());
-    effects.add(new ReplicaEffect.SendDurable(request.candidateAddress(), response));
+    effects.add(new ReplicaEffect.SendAfterSync(request.candidateAddress(), response));
   }
 
   private void onVoteResponse(VoteResponse response, long nowMs) {
@@ -431,7 +431,7 @@
 
   private void answerAppend(String to, boolean success, long matchIndex, long round) {
     AppendResponse response = new AppendResponse(term, id, success, matchIndex, round);
-    effects.add(new ReplicaEffect.SendDurable(to, response));
+    effects.add(new ReplicaEffect.SendAfterSync(to, response));
   }
 
   private void onAppendResponse(AppendResponse response, long nowMs) {
--- a/core/src/main/java/io/hingehoist/replication/ReplicaEffect.java
+++ b/core/src/main/java/io/hingehoist/replication/ReplicaEffect.java
@@ -11,7 +11,7 @@
   record Send(String address, Message message) implements ReplicaEffect {}
 
   /** Sends a message once everything before it is synced. */
-  record SendDurable(String address, Message message) implements ReplicaEffect {}
+  record SendAfterSync(String address, Message message) implements ReplicaEffect {}
 
   /** Records the term and the vote given in it. */
   record SaveVote(long term, String votedFor) implements ReplicaEffect {}
--- a/core/src/main/java/io/hingehoist/settings/FieldSpecs.java
+++ b/core/src/main/java/io/hingehoist/settings/FieldSpecs.java
@@ -27,12 +27,12 @@
   }
 
   /** Returns the rule for names in words. */
-  public static String nameRange() {
+  public static String describeNameRange() {
     return NAME_RANGE;
   }
 
   /** Returns what is wrong with a value, with the field, the value and the allowed range. */
-  public static Optional<String> problem(FieldSpec spec, String value) {
+  public static Optional<String> validate(FieldSpec spec, String value) {
     boolean allowed =
         switch (spec.type()) {
           case "long", "int" -> isIntegerInRange(spec.range(), value);
@@ -45,11 +45,11 @@
     }
     return Optional.of(
         "%s: value \"%s\" is not allowed; allowed: %s"
-            .formatted(spec.name(), value, allowed(spec)));
+            .formatted(spec.name(), value, describeRange(spec)));
   }
 
   /** Returns the allowed range in words. */
-  public static String allowed(FieldSpec spec) {
+  public static String describeRange(FieldSpec spec) {
     return switch (spec.range()) {
       case "name" -> NAME_RANGE;
       case "ip:port" -> "an IP number and a port from 1 to 65535, such as 127.0.0.1:7100";
--- a/core/src/main/java/io/hingehoist/settings/SettingsTree.java
+++ b/core/src/main/java/io/hingehoist/settings/SettingsTree.java
@@ -96,13 +96,13 @@
   }
 
   /** Returns what is wrong with a change; empty if it may be accepted. */
-  public static Optional<String> problem(String path, String key, Optional<String> value) {
+  public static Optional<String> validate(String path, String key, Optional<String> value) {
     if (SettingsPath.parse(path).isEmpty()) {
       return Optional.of(
           "path: value \"%s\" is not allowed; allowed: /, /service, /service/jobClass,"
                   .formatted(path)
               + " /service/jobClass/zone, each a name of "
-              + FieldSpecs.nameRange());
+              + FieldSpecs.describeNameRange());
     }
     Optional<FieldSpec> spec = FieldSpecs.find(ServicePolicy.SPECS, key);
     if (spec.isEmpty()) {
@@ -110,6 +110,6 @@
       return Optional.of(
           "key: value \"%s\" is not allowed; allowed: %s".formatted(key, String.join(", ", known)));
     }
-    return value.flatMap(text -> FieldSpecs.problem(spec.get(), text));
+    return value.flatMap(text -> FieldSpecs.validate(spec.get(), text));
   }
 }
--- a/core/src/test/java/io/hingehoist/control/ControlStateTest.java
+++ b/core/src/test/java/io/hingehoist/control/ControlStateTest.java
@@ -149,7 +149,8 @@
   public void anEndedEntrysJobGoesToAnotherUnderAHigherEpoch() {
     Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
     apply(new EndEntry("entry-1", 1, "test"));
-    assertEquals(state.adoptedBy("entry-2", 1, List.of()), List.of(new OwnedJob(first.jobId(), 2)));
+    assertEquals(
+        state.jobsAdoptedBy("entry-2", 1, List.of()), List.of(new OwnedJob(first.jobId(), 2)));
     assertEquals(apply(new CompleteJob(first.jobId(), 1, complete("old"))), new OutcomeStale(2));
     assertEquals(apply(new CompleteJob(first.jobId(), 2, complete("new"))), new OutcomeCommitted());
     assertEquals(state.job(first.jobId()).get().outcome(), Optional.of(complete("new")));
@@ -161,7 +162,7 @@
     apply(new EndEntry("entry-2", 1, "test"));
     apply(new EndEntry("entry-1", 1, "test"));
     apply(new RegisterEntry("entry-3", 1, "", "z3"));
-    assertEquals(state.adoptedBy("entry-3", 1, List.of()).getFirst().jobId(), first.jobId());
+    assertEquals(state.jobsAdoptedBy("entry-3", 1, List.of()).getFirst().jobId(), first.jobId());
   }
 
   @Test
--- a/core/src/test/java/io/hingehoist/directory/PeerDirectoryTest.java
+++ b/core/src/test/java/io/hingehoist/directory/PeerDirectoryTest.java
@@ -16,19 +16,19 @@
   @Test
   public void passesOnOnlyWhatProcessesToldOfThemselves() {
     PeerDirectory directory = PeerDirectory.create(10_000);
-    directory.told(peer("a:1", 1), 1_000);
-    directory.learned(peer("b:1", 1), 1_000);
-    assertEquals(directory.fresh(1_500), List.of(peer("a:1", 1)));
+    directory.recordAnnounced(peer("a:1", 1), 1_000);
+    directory.recordRelayed(peer("b:1", 1), 1_000);
+    assertEquals(directory.recentlyAnnounced(1_500), List.of(peer("a:1", 1)));
     assertEquals(directory.peers().size(), 2);
-    assertEquals(directory.fresh(9_000), List.of());
+    assertEquals(directory.recentlyAnnounced(9_000), List.of());
   }
 
   @Test
   public void anOlderIncarnationDoesNotReplaceANewerOne() {
     PeerDirectory directory = PeerDirectory.create(10_000);
-    directory.told(peer("a:1", 2), 1_000);
+    directory.recordAnnounced(peer("a:1", 2), 1_000);
     long version = directory.version();
-    directory.learned(peer("a:1", 1), 1_100);
+    directory.recordRelayed(peer("a:1", 1), 1_100);
     assertEquals(directory.peers(), List.of(peer("a:1", 2)));
     assertEquals(directory.version(), version);
   }
@@ -36,7 +36,7 @@
   @Test
   public void forgetsWhatWasNotHeardOf() {
     PeerDirectory directory = PeerDirectory.create(10_000);
-    directory.told(peer("a:1", 1), 1_000);
+    directory.recordAnnounced(peer("a:1", 1), 1_000);
     long version = directory.version();
     directory.expire(11_001);
     assertEquals(directory.peers(), List.of());
--- a/core/src/test/java/io/hingehoist/dispatch/OnceGroup.java
+++ b/core/src/test/java/io/hingehoist/dispatch/OnceGroup.java
@@ -114,7 +114,7 @@
                 closeOthers(members);
               });
       carryOut(dispatcher.onLease(nowMs + LEASE_MS, 0, nowMs));
-      for (OwnedJob owned : state.adoptedBy(id, incarnation, dispatcher.ownedJobIds())) {
+      for (OwnedJob owned : state.jobsAdoptedBy(id, incarnation, dispatcher.ownedJobIds())) {
         JobRow row = state.job(owned.jobId()).orElseThrow();
         carryOut(dispatcher.onAdopted(spec(row, owned.epoch()), state.agentsLostSince(row), nowMs));
       }
--- a/core/src/test/java/io/hingehoist/replication/ReplicaGroup.java
+++ b/core/src/test/java/io/hingehoist/replication/ReplicaGroup.java
@@ -39,7 +39,7 @@
     Replica replica;
     long appliedIndex;
     private final List<ReplicaEffect> unsynced = new ArrayList<>();
-    private final List<ReplicaEffect.SendDurable> afterSync = new ArrayList<>();
+    private final List<ReplicaEffect.SendAfterSync> afterSync = new ArrayList<>();
 
     Box(String address, String replicaId) {
       this.address = address;
@@ -95,7 +95,7 @@
     private void carryOut(ReplicaEffect effect) {
       switch (effect) {
         case ReplicaEffect.Send send -> post(this, send.address(), send.message());
-        case ReplicaEffect.SendDurable send -> afterSync.add(send);
+        case ReplicaEffect.SendAfterSync send -> afterSync.add(send);
         case ReplicaEffect.SaveVote vote -> unsynced.add(vote);
         case ReplicaEffect.Append append -> unsynced.add(append);
         case ReplicaEffect.Truncate truncate -> unsynced.add(truncate);
@@ -136,7 +136,7 @@
         }
       }
       unsynced.clear();
-      List<ReplicaEffect.SendDurable> due = List.copyOf(afterSync);
+      List<ReplicaEffect.SendAfterSync> due = List.copyOf(afterSync);
       afterSync.clear();
       due.forEach(send -> post(this, send.address(), send.message()));
       if (wrote) {
--- a/core/src/test/java/io/hingehoist/settings/SettingsTreeTest.java
+++ b/core/src/test/java/io/hingehoist/settings/SettingsTreeTest.java
@@ -38,7 +38,7 @@
   @Test
   public void aBadValueIsNamedWithItsRange() {
     String problem =
-        SettingsTree.problem("/porting", "taskTimeoutMs", Optional.of("5")).orElseThrow();
+        SettingsTree.validate("/porting", "taskTimeoutMs", Optional.of("5")).orElseThrow();
     assertEquals(problem, "taskTimeoutMs: value \"5\" is not allowed; allowed: 10..600000");
   }
 
--- a/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
+++ b/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
@@ -127,7 +127,7 @@
         });
     for (FieldSpec spec : specs) {
       if (spec.isRequired() && !section.containsKey(spec.name())) {
-        problem(sectionName + "." + spec.name(), "(missing)", FieldSpecs.allowed(spec));
+        problem(sectionName + "." + spec.name(), "(missing)", FieldSpecs.describeRange(spec));
       }
     }
     values.put(sectionName, found);
@@ -137,15 +137,18 @@
     boolean list = spec.type().equals("array");
     boolean wrongShape = value == null || value instanceof Map || (value instanceof List) != list;
     if (wrongShape) {
-      problem(field, String.valueOf(value), (list ? "a list of " : "") + FieldSpecs.allowed(spec));
+      problem(
+          field,
+          String.valueOf(value),
+          (list ? "a list of " : "") + FieldSpecs.describeRange(spec));
       return;
     }
     String text =
         value instanceof List<?> items
             ? items.stream().map(String::valueOf).collect(Collectors.joining(","))
             : String.valueOf(value);
-    if (FieldSpecs.problem(spec, text).isPresent()) {
-      problem(field, text, FieldSpecs.allowed(spec));
+    if (FieldSpecs.validate(spec, text).isPresent()) {
+      problem(field, text, FieldSpecs.describeRange(spec));
     }
     found.put(spec.name(), text);
   }
--- a/daemon/src/main/java/io/hingehoist/entry/Submissions.java
+++ b/daemon/src/main/java/io/hingehoist/entry/Submissions.java
@@ -121,7 +121,7 @@
   private static String name(String field, String value) {
     String name = required(field, value);
     if (!FieldSpecs.isName(name)) {
-      throw new InvalidFieldException(field, name, FieldSpecs.nameRange());
+      throw new InvalidFieldException(field, name, FieldSpecs.describeNameRange());
     }
     return name;
   }
--- a/daemon/src/main/java/io/hingehoist/net/ControlLinks.java
+++ b/daemon/src/main/java/io/hingehoist/net/ControlLinks.java
@@ -130,7 +130,7 @@
   /** Takes a process that made itself known here. */
   public void told(Peer peer) {
     long before = directory.version();
-    directory.told(peer, EventLoop.nowMs());
+    directory.recordAnnounced(peer, EventLoop.nowMs());
     if (directory.version() != before) {
       directoryChanged();
     }
@@ -213,13 +213,13 @@
 
     private void take(Directory update) {
       if (update.version() == link.directoryVersion) {
-        directory.confirmed(EventLoop.nowMs());
+        directory.refreshAll(EventLoop.nowMs());
         return;
       }
       link.directoryVersion = update.version();
       long before = directory.version();
       long nowMs = EventLoop.nowMs();
-      update.peers().forEach(peer -> directory.learned(peer, nowMs));
+      update.peers().forEach(peer -> directory.recordRelayed(peer, nowMs));
       if (directory.version() != before) {
         directoryChanged();
       }
--- a/daemon/src/main/java/io/hingehoist/quorum/ClientRequests.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ClientRequests.java
@@ -181,7 +181,10 @@
             ? current.isLiveEntry(nodeId, request.incarnation())
             : current.isCurrentAgent(nodeId, request.incarnation());
     MemberState memberState =
-        current.agent(nodeId).map(row -> current.actingState(row.info())).orElse(MemberState.LIVE);
+        current
+            .agent(nodeId)
+            .map(row -> current.effectiveState(row.info()))
+            .orElse(MemberState.LIVE);
     return new HeartbeatResponse(
         request.requestId(),
         ReplyStatus.OK,
@@ -192,7 +195,9 @@
         current.floorMs(),
         current.settingsSince(request.settingsRevision()),
         entry ? current.membersSince(request.membersVersion()) : Optional.empty(),
-        entry ? current.adoptedBy(nodeId, request.incarnation(), request.ownedJobIds()) : List.of(),
+        entry
+            ? current.jobsAdoptedBy(nodeId, request.incarnation(), request.ownedJobIds())
+            : List.of(),
         memberState);
   }
 
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
@@ -101,7 +101,7 @@
   private final boolean discovers;
   private final int voterCount;
   private final InboxLoop<ControlEvent> loop;
-  private final List<ReplicaEffect.SendDurable> afterSync = new ArrayList<>();
+  private final List<ReplicaEffect.SendAfterSync> afterSync = new ArrayList<>();
   private final Map<Command, Long> proposedAtMs = new HashMap<>();
   private final Thread platformThread;
   private final FrameServer server;
@@ -288,7 +288,7 @@
       case QueryRequest request ->
           step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
       case HeartbeatRequest request -> {
-        liveness.heard(request.role(), request.nodeId(), request.incarnation(), now);
+        liveness.recordHeartbeat(request.role(), request.nodeId(), request.incarnation(), now);
         noteDraining(request, now);
         step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
       }
@@ -382,7 +382,7 @@
     if (!replica.isLeader()) {
       return;
     }
-    for (Command command : liveness.dueCommands(state, now)) {
+    for (Command command : liveness.expiryCommands(state, now)) {
       proposeOnce(command, now);
     }
     if (now - clockAtMs >= CLOCK_PERIOD_MS) {
@@ -405,7 +405,7 @@
   private void carryOut(ReplicaEffect effect) throws IOException {
     switch (effect) {
       case ReplicaEffect.Send send -> send(send.address(), send.message());
-      case ReplicaEffect.SendDurable send -> afterSync.add(send);
+      case ReplicaEffect.SendAfterSync send -> afterSync.add(send);
       case ReplicaEffect.SaveVote vote -> journal.addVote(vote.term(), vote.votedFor());
       case ReplicaEffect.Append append -> journal.addEntries(append.entries());
       case ReplicaEffect.Truncate truncate -> journal.addTruncation(truncate.fromIndex());
@@ -457,7 +457,7 @@
               links.sendToAll(announce);
               links.renewSilent(now);
               discovery.controlAddresses().forEach(address -> links.open(address, now));
-              replica.knowAddresses(links.addresses());
+              replica.updateKnownAddresses(links.addresses());
             });
   }
 
--- a/daemon/src/main/java/io/hingehoist/quorum/Discovery.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/Discovery.java
@@ -47,12 +47,12 @@
       Collection<DocumentRow> documents,
       Optional<EvacuatedZones> zones,
       long nowMs) {
-    directory.told(announce.self(), nowMs);
-    announce.known().forEach(peer -> directory.learned(peer, nowMs));
+    directory.recordAnnounced(announce.self(), nowMs);
+    announce.known().forEach(peer -> directory.recordRelayed(peer, nowMs));
     if (announce.self().role() == Role.CONTROL) {
       return;
     }
-    directory.told(self, nowMs);
+    directory.recordAnnounced(self, nowMs);
     boolean current = announce.directoryVersion() == directory.version();
     sender.send(new Directory(directory.version(), current ? List.of() : directory.peers()));
     if (followers.putIfAbsent(sender, announce.self().role()) == null) {
@@ -75,7 +75,7 @@
     announcedAtMs = nowMs;
     directory.expire(nowMs);
     followers.keySet().removeIf(follower -> !follower.isOpen());
-    List<Peer> known = directory.fresh(nowMs);
+    List<Peer> known = directory.recentlyAnnounced(nowMs);
     return Optional.of(
         new Announce(self, known.subList(0, Math.min(MAX_PASSED_ON, known.size())), 0));
   }
--- a/daemon/src/main/java/io/hingehoist/quorum/Reports.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/Reports.java
@@ -127,8 +127,8 @@
           new Member(
               "agent",
               info.agentId(),
-              state.actingState(info).name(),
-              state.actingState(info) == info.state() ? row.stateSource() : "zone",
+              state.effectiveState(info).name(),
+              state.effectiveState(info) == info.state() ? row.stateSource() : "zone",
               info.zone(),
               info.address(),
               info.service(),
