--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -45,12 +45,16 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A host: one event loop that owns the {@link WorkerHost} and carries all connections. */
+/**
+ * The process of a host: the {@link WorkerHost} and all connections, on one event loop. Not
+ * thread-safe: confined to the event loop, except for {@link #start}, {@link #reload} and {@link
+ * #stop}.
+ */
 public final class HostNode implements WorkerRegistry, NodeLoop.Node, AutoCloseable {
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Lines on heartbeats that are ignored, so that no writer can fill the log. */
-  private static final int MAX_IGNORED_NOTED = 100;
+  /** The maximum number of log lines on ignored heartbeats, so that no sender can fill the log. */
+  private static final int MAX_LOGGED_IGNORED = 100;
 
   private final NodeSection node;
   private final HostSection settings;
@@ -63,8 +67,8 @@
   private final OwnerLinks owners;
   private final PeerServer peers;
   private final PlannedStop stop;
-  private final SleepDetector sleepWatch = SleepDetector.create();
-  private final Set<String> ignoredNoted = new HashSet<>();
+  private final SleepDetector sleepDetector = SleepDetector.create();
+  private final Set<String> loggedIgnored = new HashSet<>();
 
   private HostNode(
       NodeSection node,
@@ -120,15 +124,15 @@
     metrics.addGauge("hingehoist_host_workers", "Workers.", host.host::workerCount);
     metrics.addGauge(
         "hingehoist_host_starts_refused_for_zone",
-        "Runs refused as the zone is evacuated, or not known not to be.",
+        "Runs refused because the zone is evacuated or its state is not known.",
         host.host::refusedForZoneCount);
     metrics.addGauge(
         "hingehoist_host_unanswered_starts",
-        "Start calls that had no answer.",
+        "Start calls without an answer.",
         host.host::unansweredStartCount);
     metrics.addGauge(
         "hingehoist_host_unknown_ends",
-        "Ends that workers listed of runs that were not known.",
+        "Ends of unknown runs that workers listed.",
         host.host::unknownEndCount);
     ZoneGauges.add(metrics, host.host.zones());
     metrics.addGauge(
@@ -136,7 +140,7 @@
     return host;
   }
 
-  /** Follows settings that were read again: new addresses of control replicas are used as well. */
+  /** Applies reloaded settings: adds connections to new addresses of control replicas. */
   public void reload(NodeSection newNode) {
     loop.execute(() -> controls.open(ControlAddresses.of(newNode)));
   }
@@ -148,13 +152,13 @@
     owners.onTick(nowMs);
     host.onTick(nowMs);
     if (stop.hasBegun() && host.isIdle()) {
-      stop.settle();
+      stop.complete();
     }
   }
 
   /**
-   * Stops as planned: takes no further runs and waits for the ends of those that are here. Returns
-   * whether all ended. Called from another thread.
+   * Performs a planned stop: accepts no further runs and waits for those in progress to end.
+   * Returns whether all ended. Called from another thread than the event loop.
    */
   public boolean stop() {
     boolean ended =
@@ -167,10 +171,10 @@
     return ended;
   }
 
-  // Effects.
+  // Effects of decisions.
 
   @Override
-  public void settle(long nowMs) {
+  public void flush(long nowMs) {
     host.showRows(nowMs);
     host.takeEffects().forEach(this::carryOut);
   }
@@ -178,67 +182,70 @@
   private void carryOut(HostEffect effect) {
     switch (effect) {
       case HostEffect.CallStart call ->
-          workers.start(call, loop.settling(answer -> started(call, answer)));
+          workers.start(call, loop.andFlush(answer -> onStartAnswered(call, answer)));
       case HostEffect.CallStop call ->
-          workers.stop(call, loop.settling(answered -> stopped(call, answered)));
+          workers.stop(call, loop.andFlush(answered -> onStopAnswered(call, answered)));
       case HostEffect.CallHold call ->
-          workers.hold(call, loop.settling(answer -> listed(call, answer)));
+          workers.hold(call, loop.andFlush(answer -> onHoldAnswered(call, answer)));
       case HostEffect.ForgetAddress forget -> workers.forget(forget.address());
-      case HostEffect.ToOwner to -> owners.send(to.sessionId(), to.message());
+      case HostEffect.ToOwner send -> owners.send(send.sessionId(), send.message());
       case HostEffect.CloseSession session -> owners.close(session.sessionId());
-      case HostEffect.Noted noted -> log.write(noted.decision());
+      case HostEffect.Noted logged -> log.write(logged.decision());
     }
   }
 
-  /** Before anything is done on a lease: after a sleep none may be believed. */
+  /**
+   * Checks for a system sleep, before any action that relies on a lease: a lease may have expired
+   * during the sleep.
+   */
   private void checkSleep() {
-    long sleptMs = sleepWatch.sleptMs();
+    long sleptMs = sleepDetector.sleptMs();
     if (sleptMs > 0) {
       host.mayHaveSlept(sleptMs, EventLoop.nowMs());
-      loop.settleLater();
+      loop.flushLater();
     }
   }
 
-  private void started(HostEffect.CallStart call, StartAnswer answer) {
+  private void onStartAnswered(HostEffect.CallStart call, StartAnswer answer) {
     checkSleep();
     host.startAnswered(call.lifeId(), call.run(), answer, EventLoop.nowMs());
   }
 
-  private void stopped(HostEffect.CallStop call, boolean answered) {
+  private void onStopAnswered(HostEffect.CallStop call, boolean answered) {
     checkSleep();
     host.stopAnswered(call.lifeId(), call.run(), answered, EventLoop.nowMs());
   }
 
-  private void listed(HostEffect.CallHold call, HoldAnswer answer) {
+  private void onHoldAnswered(HostEffect.CallHold call, HoldAnswer answer) {
     checkSleep();
     host.holdAnswered(call.lifeId(), answer, EventLoop.nowMs());
   }
 
-  // What workers, owners and control replicas say.
+  // Messages of workers, owners and control replicas.
 
   @Override
   public Optional<IgnoredHeartbeat> workerSeen(WorkerInfo info) {
-    String own = settings.workerService();
-    if (!own.isEmpty() && !info.service().equals(own)) {
+    String allowed = settings.workerService();
+    if (!allowed.isEmpty() && !info.service().equals(allowed)) {
       String detail =
-          "service: value %s is not allowed; allowed: %s".formatted(info.service(), own);
+          "service: value %s is not allowed; allowed: %s".formatted(info.service(), allowed);
       return Optional.of(
           new IgnoredHeartbeat(info.workerId(), IgnoredHeartbeat.Problem.OTHER_SERVICE, detail));
     }
     host.workerSeen(info, EventLoop.nowMs());
-    loop.settleLater();
+    loop.flushLater();
     return Optional.empty();
   }
 
-  /** A writer that goes on is named once for each thing that is wrong, as far as there is place. */
+  /** Counts an ignored heartbeat, and logs it once for each sender and problem, up to a limit. */
   @Override
   public void heartbeatIgnored(IgnoredHeartbeat heartbeat) {
     String problem = heartbeat.problem().name();
     metrics.countIgnoredHeartbeat(problem);
-    boolean isNew =
-        ignoredNoted.size() < MAX_IGNORED_NOTED
-            && ignoredNoted.add(heartbeat.writer() + ' ' + problem);
-    if (isNew) {
+    boolean logged =
+        loggedIgnored.size() < MAX_LOGGED_IGNORED
+            && loggedIgnored.add(heartbeat.writer() + ' ' + problem);
+    if (logged) {
       String outcome = "problem=" + problem + ' ' + heartbeat.detail();
       log.write("heartbeatIgnored", heartbeat.writer(), outcome);
     }
@@ -247,22 +254,25 @@
   @Override
   public void workerLeaves(String workerId) {
     host.workerLeaves(workerId);
-    loop.settleLater();
+    loop.flushLater();
   }
 
-  /** An owner that reaches no control replica hears of a change from hosts that do. */
-  private void learnZones(EvacuatedZones zones, String source) {
+  /**
+   * Stores a newer version of the evacuated zones and relays it to the owners, as one of them may
+   * reach no control replica itself.
+   */
+  private void updateZones(EvacuatedZones zones, String source) {
     if (host.zonesLearned(zones, source, EventLoop.nowMs())) {
       owners.sendToAll(zones);
-      loop.settleLater();
+      loop.flushLater();
     }
   }
 
   private final class OwnerListener implements OwnerLinks.Listener {
     @Override
-    public void onBegan(long sessionId, String ownerId) {
+    public void onStarted(long sessionId, String ownerId) {
       host.sessionBegan(sessionId, ownerId, EventLoop.nowMs());
-      loop.settleLater();
+      loop.flushLater();
     }
 
     @Override
@@ -270,23 +280,24 @@
       checkSleep();
       long now = EventLoop.nowMs();
       switch (message) {
-        case OwnerBeat beat -> host.ownerBeat(sessionId, beat.sentAtMs(), beat.follows(), now);
-        case OwnerWaiting news -> host.ownerWaiting(sessionId, news, now);
+        case OwnerBeat heartbeat ->
+            host.ownerBeat(sessionId, heartbeat.sentAtMs(), heartbeat.follows(), now);
+        case OwnerWaiting waiting -> host.ownerWaiting(sessionId, waiting, now);
         case StartRuns order -> host.startRuns(sessionId, order, now);
         case SessionProof proof ->
             host.sessionProven(sessionId, proof.number(), proof.sentAtMs(), now);
         case SessionProbe probe -> host.sessionProbed(sessionId, probe.number(), now);
         case StopRun order -> host.stopRun(sessionId, order.run(), now);
-        case EvacuatedZones zones -> learnZones(zones, "session=" + sessionId);
+        case EvacuatedZones zones -> updateZones(zones, "session=" + sessionId);
         default -> owners.close(sessionId);
       }
-      loop.settleLater();
+      loop.flushLater();
     }
 
     @Override
     public void onResumed(long sessionId) {
       host.sessionResumed(sessionId, EventLoop.nowMs());
-      loop.settleLater();
+      loop.flushLater();
     }
 
     @Override
@@ -302,14 +313,14 @@
     @Override
     public void onEnded(long sessionId, String reason) {
       host.sessionEnded(sessionId, reason, EventLoop.nowMs());
-      loop.settleLater();
+      loop.flushLater();
     }
   }
 
   private final class ControlListener implements ControlLinks.Listener {
     @Override
     public void onDirectory(PeerDirectory directory) {
-      owners.follow(directory.peers(Role.ENTRY));
+      owners.setOwners(directory.peers(Role.ENTRY));
     }
 
     @Override
@@ -320,7 +331,7 @@
 
     @Override
     public void onZones(String address, EvacuatedZones zones) {
-      learnZones(zones, address);
+      updateZones(zones, address);
     }
 
     @Override
@@ -329,7 +340,7 @@
     }
   }
 
-  /** Takes what comes from owners that this host may not have heard of. */
+  /** Handles connections of owners that this host may not know of. */
   private final class AnnouncementHandler implements PeerHandler {
     @Override
     public void onOpen(PeerChannel channel) {}
@@ -337,8 +348,8 @@
     @Override
     public void onMessage(PeerChannel channel, Message message) {
       if (message instanceof Announce announce) {
-        controls.told(announce.self());
-        owners.replaceFor(announce.self());
+        controls.addAnnounced(announce.self());
+        owners.replaceIfSilent(announce.self());
       }
     }
 
--- a/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
+++ b/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
@@ -26,53 +26,56 @@
 import java.util.stream.Collectors;
 
 /**
- * The sessions of a host with every owner that it knows of, and their connections. A session
- * outlasts its connection for as long as the owner's lease: one that breaks or falls silent is
- * replaced, and the session goes on where it stood. Owned by the event loop.
+ * The sessions of a host with all owners that it knows of, and their connections. A session
+ * outlives its connection for the duration of the owner's lease: a connection that breaks or falls
+ * silent is replaced, and the session resumes where it was interrupted. Not thread-safe: confined
+ * to the event loop.
  */
 final class OwnerLinks implements AutoCloseable {
-  /** Until a session has begun: as for one whose owner has runs here. */
-  private static final long SILENT_AFTER_MS = SessionSilence.ofOwnerMs(false, Long.MAX_VALUE);
+  /** The time-out before a session starts: that of a session whose owner has runs here. */
+  private static final long SILENCE_TIMEOUT_MS = SessionSilence.ofOwnerMs(false, Long.MAX_VALUE);
 
-  /** Takes what happens on sessions, on the event loop. */
+  /** Handles the events of sessions. Called on the event loop. */
   interface Listener {
-    void onBegan(long sessionId, String ownerId);
+    /** Called when a session starts. */
+    void onStarted(long sessionId, String ownerId);
 
-    /** Notes that a session goes on on a new connection. */
+    /** Called when a session resumes on a new connection. */
     void onResumed(long sessionId);
 
+    /** Called for each message that this class does not handle itself. */
     void onMessage(long sessionId, Message message);
 
-    /** Notes that a session can't go on, and why. */
+    /** Called when a session has ended and can't be resumed, with the reason. */
     void onEnded(long sessionId, String reason);
 
     /**
-     * Notes that a session has no connection for now.
+     * Called when a session has no connection.
      *
-     * @param heardAgoMs the time since something was last heard on the last one
+     * @param heardAgoMs the time since the last message on the session's connection
      */
     void onSuspended(long sessionId, String ownerId, long heardAgoMs);
 
-    /** Returns whether runs of a session are not over. */
+    /** Returns whether a session has runs that are not over. */
     boolean hasRuns(long sessionId);
   }
 
   private static final class Session {
     private final long id;
     private final SessionStream stream = SessionStream.create();
-    private final long beganAtMs;
+    private final long startedAtMs;
     private Optional<PeerChannel> channel;
-    private SentRows rows = SentRows.create();
-    private long beatAtMs;
+    private SentRows sentRows = SentRows.create();
+    private long heartbeatReceivedAtMs;
 
     private Session(PeerChannel channel, long nowMs) {
       this.id = channel.id();
-      this.beatAtMs = nowMs;
-      this.beganAtMs = nowMs;
+      this.heartbeatReceivedAtMs = nowMs;
+      this.startedAtMs = nowMs;
       this.channel = Optional.of(channel);
     }
 
-    private boolean isOn(PeerChannel other) {
+    private boolean usesChannel(PeerChannel other) {
       return channel.filter(other::equals).isPresent();
     }
   }
@@ -81,7 +84,7 @@
   private final Peer self;
   private final Metrics metrics;
   private final Listener listener;
-  private final SilenceDetector watch = SilenceDetector.create(EventLoop.nowMs());
+  private final SilenceDetector silenceDetector = SilenceDetector.create(EventLoop.nowMs());
   private final Map<String, PeerLink> links = new HashMap<>();
   private final Map<String, Session> sessionsByOwner = new HashMap<>();
 
@@ -92,8 +95,8 @@
     this.listener = listener;
   }
 
-  /** Opens links to owners that are new, and closes those to owners that are forgotten. */
-  void follow(List<Peer> owners) {
+  /** Opens links to new owners and closes the links to owners that are no longer listed. */
+  void setOwners(List<Peer> owners) {
     Set<String> addresses = owners.stream().map(Peer::address).collect(Collectors.toSet());
     for (String address : addresses) {
       links.computeIfAbsent(address, this::open);
@@ -110,7 +113,7 @@
         loop,
         address,
         self.address(),
-        SILENT_AFTER_MS,
+        SILENCE_TIMEOUT_MS,
         this::hello,
         new OwnerHandler(address),
         metrics);
@@ -122,74 +125,82 @@
   }
 
   void onTick(long nowMs) {
-    watch.onTick(nowMs);
-    links.forEach((owner, link) -> tick(owner, link, nowMs));
-    Map.copyOf(sessionsByOwner).forEach(this::replaceIfSilent);
+    silenceDetector.onTick(nowMs);
+    links.forEach((owner, link) -> checkLink(owner, link, nowMs));
+    Map.copyOf(sessionsByOwner).forEach(this::replaceWithoutHeartbeat);
   }
 
-  private void tick(String owner, PeerLink link, long nowMs) {
+  private void checkLink(String owner, PeerLink link, long nowMs) {
     Session session = sessionsByOwner.get(owner);
-    link.replaceAfterSilenceOf(session == null ? SILENT_AFTER_MS : silentAfterMs(session, nowMs));
+    link.setSilenceTimeoutMs(
+        session == null ? SILENCE_TIMEOUT_MS : silenceTimeoutMs(session, nowMs));
     link.onTick(nowMs);
   }
 
-  private long silentAfterMs(Session session, long nowMs) {
+  private long silenceTimeoutMs(Session session, long nowMs) {
     boolean idle = !listener.hasRuns(session.id);
-    return SessionSilence.ofOwnerMs(idle, nowMs - session.beganAtMs);
+    return SessionSilence.ofOwnerMs(idle, nowMs - session.startedAtMs);
   }
 
-  private void replaceIfSilent(String owner, Session session) {
+  private void replaceWithoutHeartbeat(String owner, Session session) {
     PeerLink link = links.get(owner);
     if (link != null
         && session.channel.isPresent()
-        && watch.isSilent(session.beatAtMs, link.silentAfterMs())) {
+        && silenceDetector.isSilent(session.heartbeatReceivedAtMs, link.silenceTimeoutMs())) {
       link.replace();
     }
   }
 
-  /** Sends a message on a session's connection, or on its next one if it must arrive. */
+  /**
+   * Sends a message on a session's connection. A message with guaranteed delivery is kept, and sent
+   * again on the session's next connection until it is acknowledged.
+   */
   void send(long sessionId, Message message) {
     find(sessionId)
         .ifPresent(
             session -> {
               session.stream.noteSent(message);
-              session.channel.ifPresent(channel -> channel.send(shortest(session, message)));
+              session.channel.ifPresent(channel -> channel.send(encode(session, message)));
             });
   }
 
   /**
-   * Opens another connection to an owner that made itself known here though a session with it goes
-   * on, if it was not heard for a while on the one that is open: that one has fallen silent, where
-   * nothing ran perhaps, so that no heartbeat is missed yet. An owner that was just heard has only
-   * not read yet what this host said, and a new connection would cost it more.
+   * Replaces the connection to an owner that announced itself here although it has a session, if
+   * nothing was received on that connection for a while. Such a connection may be silent without a
+   * missed heartbeat, as heartbeats are rare without runs. An owner from which something was just
+   * received has merely not read this host's messages yet, and a new connection would add to its
+   * load.
    */
-  void replaceFor(Peer owner) {
+  void replaceIfSilent(Peer owner) {
     PeerLink link = links.get(owner.address());
     if (link == null) {
       return;
     }
     long nowMs = EventLoop.nowMs();
     link.channel()
-        .filter(channel -> nowMs - channel.heardAtMs() >= SILENT_AFTER_MS)
+        .filter(channel -> nowMs - channel.lastReceivedAtMs() >= SILENCE_TIMEOUT_MS)
         .ifPresent(channel -> link.replace());
   }
 
-  /** Sends a message that each owner may also hear elsewhere, to those that are connected. */
+  /**
+   * Sends a message to all connected owners. It is not repeated to the others, which may receive
+   * its content from other processes.
+   */
   void sendToAll(Message message) {
     sessionsByOwner
         .values()
         .forEach(session -> session.channel.ifPresent(channel -> channel.send(message)));
   }
 
-  private static Message shortest(Session session, Message message) {
-    return message instanceof HostRows rows ? session.rows.toSend(rows) : message;
+  private static Message encode(Session session, Message message) {
+    return message instanceof HostRows rows ? session.sentRows.toSend(rows) : message;
   }
 
   private Optional<Session> find(long sessionId) {
     return sessionsByOwner.values().stream().filter(s -> s.id == sessionId).findFirst();
   }
 
-  /** Ends a session on this host's side, and its connection. */
+  /** Ends a session on this host's side and closes its connection. */
   void close(long sessionId) {
     find(sessionId)
         .ifPresent(
@@ -199,7 +210,7 @@
             });
   }
 
-  private void end(String owner, String reason) {
+  private void endSession(String owner, String reason) {
     Session session = sessionsByOwner.remove(owner);
     if (session != null) {
       listener.onEnded(session.id, reason);
@@ -217,88 +228,88 @@
     public void onOpen(PeerChannel channel) {
       Session session = sessionsByOwner.get(owner);
       if (session == null) {
-        begin(channel);
+        startSession(channel);
       } else {
         channel.send(new SessionResumed(session.id, session.stream.receivedCount()));
       }
     }
 
-    private void begin(PeerChannel channel) {
+    private void startSession(PeerChannel channel) {
       Session session = new Session(channel, EventLoop.nowMs());
       sessionsByOwner.put(owner, session);
-      listener.onBegan(session.id, owner);
+      listener.onStarted(session.id, owner);
     }
 
     @Override
     public void onMessage(PeerChannel channel, Message message) {
       Session session = sessionsByOwner.get(owner);
       if (session == null) {
-        // Its lease is over since the connection was opened.
+        // The session ended, with its lease, after the connection was opened.
         channel.close();
         return;
       }
       switch (message) {
-        case SessionResumed resumed -> resume(session, channel, resumed);
-        case SessionUnknown unknown -> beginAnew(session, channel, unknown);
-        case SessionAck ack -> take(session, channel, ack);
-        default -> receive(session, channel, message);
+        case SessionResumed resumed -> resumeSession(session, channel, resumed);
+        case SessionUnknown unknown -> restartSession(session, channel, unknown);
+        case SessionAck ack -> handleAck(session, channel, ack);
+        default -> handleMessage(session, channel, message);
       }
     }
 
-    private void receive(Session session, PeerChannel channel, Message message) {
-      if (session.isOn(channel)) {
+    private void handleMessage(Session session, PeerChannel channel, Message message) {
+      if (session.usesChannel(channel)) {
         session.stream.noteReceived(message).ifPresent(channel::send);
         if (message instanceof OwnerBeat) {
-          session.beatAtMs = EventLoop.nowMs();
+          session.heartbeatReceivedAtMs = EventLoop.nowMs();
         }
         listener.onMessage(session.id, message);
       }
     }
 
-    private void take(Session session, PeerChannel channel, SessionAck ack) {
+    private void handleAck(Session session, PeerChannel channel, SessionAck ack) {
       if (!session.stream.acknowledged(ack.receivedCount())) {
-        refuse(channel);
+        closeInvalid(channel);
       }
     }
 
-    /** Gives up a connection whose other end speaks of another session than this one. */
-    private void refuse(PeerChannel channel) {
+    /** Closes a connection whose other end refers to another session. */
+    private void closeInvalid(PeerChannel channel) {
       metrics.countBadFrame();
       channel.close();
     }
 
-    private void resume(Session session, PeerChannel channel, SessionResumed resumed) {
-      boolean same = resumed.sessionId() == session.id;
-      if (!same || !session.stream.acknowledged(resumed.receivedCount())) {
-        refuse(channel);
+    private void resumeSession(Session session, PeerChannel channel, SessionResumed resumed) {
+      boolean sameSession = resumed.sessionId() == session.id;
+      if (!sameSession || !session.stream.acknowledged(resumed.receivedCount())) {
+        closeInvalid(channel);
         return;
       }
       session.channel = Optional.of(channel);
-      session.beatAtMs = EventLoop.nowMs();
-      session.rows = SentRows.create();
+      session.heartbeatReceivedAtMs = EventLoop.nowMs();
+      session.sentRows = SentRows.create();
       session.stream.kept().forEach(channel::send);
       listener.onResumed(session.id);
     }
 
-    private void beginAnew(Session session, PeerChannel channel, SessionUnknown unknown) {
+    private void restartSession(Session session, PeerChannel channel, SessionUnknown unknown) {
       if (unknown.sessionId() == session.id) {
-        end(owner, "owner does not know it");
-        begin(channel);
+        endSession(owner, "session unknown to owner");
+        startSession(channel);
       }
     }
 
     @Override
     public void onClosed(PeerChannel channel) {
       Session session = sessionsByOwner.get(owner);
-      if (session != null && session.isOn(channel)) {
+      if (session != null && session.usesChannel(channel)) {
         session.channel = Optional.empty();
-        listener.onSuspended(session.id, owner, EventLoop.nowMs() - channel.heardAtMs());
+        listener.onSuspended(session.id, owner, EventLoop.nowMs() - channel.lastReceivedAtMs());
       }
     }
 
     @Override
     public void onRefused() {
-      end(owner, "owner is gone");
+      endSession(owner, "owner refused connection");
     }
   }
 
--- a/daemon/src/main/java/io/hingehoist/host/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/host/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The process of a host: orders runs at the workers of its box. Begin with {@link
- * io.hingehoist.host.HostNode}; the decisions are in {@link io.hingehoist.run.host.WorkerHost}.
+ * The process of a host: starts and stops runs at the workers of its box. Start with {@link
+ * io.hingehoist.host.HostNode}; the decisions are made by {@link
+ * io.hingehoist.run.host.WorkerHost}.
  */
 package io.hingehoist.host;
--- a/daemon/src/main/java/io/hingehoist/log/DecisionLog.java
+++ b/daemon/src/main/java/io/hingehoist/log/DecisionLog.java
@@ -11,24 +11,23 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Writes decisions as lines of JSON, without ever holding up who makes them: lines wait in a queue
- * of fixed size for a thread that writes them, and are dropped and counted when it is full.
- * Thread-safe.
+ * Writes decisions as lines of JSON without blocking the caller. Lines wait in a bounded queue for
+ * a writer thread; when the queue is full, lines are dropped and counted. Thread-safe.
  */
 public final class DecisionLog implements AutoCloseable {
-  private static final int MAX_WAITING = 8_192;
+  private static final int MAX_QUEUED_LINES = 8_192;
 
-  /** For a reader that takes nothing: a process that ends waits no longer for its log. */
-  private static final long CLOSE_WAIT_MS = 1_000;
+  /** The maximum wait of an ending process for its log, if nothing reads the log. */
+  private static final long CLOSE_TIMEOUT_MS = 1_000;
 
   private static final long WRITE_PERIOD_NANOS = 200_000_000;
 
   private final String node;
   private final PrintStream out;
-  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MAX_WAITING);
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
   private final Thread writer;
-  private long reportedDrops;
+  private long reportedDroppedCount;
   private volatile boolean closed;
 
   private DecisionLog(String node, PrintStream out) {
@@ -38,26 +37,26 @@
     this.writer.setDaemon(true);
   }
 
-  /** Starts a log. */
+  /** Starts a log with the name of its node. */
   public static DecisionLog start(String node, PrintStream out) {
     DecisionLog log = new DecisionLog(node, out);
     log.writer.start();
     return log;
   }
 
-  /** Writes a decision. */
+  /** Queues a decision for writing, or drops it if the queue is full. */
   public void write(Decision decision) {
-    if (!waiting.offer(toLine(decision))) {
+    if (!queue.offer(toLine(decision))) {
       dropped.incrementAndGet();
     }
   }
 
-  /** Writes an event that is about no job. */
+  /** Queues an event that does not refer to a job. */
   public void write(String event, String where, String outcome) {
     write(new Decision(event, "", "", where, outcome));
   }
 
-  /** Returns the number of lines that were dropped because too many waited. */
+  /** Returns the number of lines that were dropped because the queue was full. */
   public long droppedCount() {
     return dropped.get();
   }
@@ -95,40 +94,45 @@
   private void writeLines() {
     try {
       while (!closed) {
-        String first = waiting.take();
+        String firstLine = queue.take();
         LockSupport.parkNanos(WRITE_PERIOD_NANOS);
-        flush(first);
+        flush(firstLine);
       }
     } catch (InterruptedException e) {
-      // Closed by close(), which writes what is left.
+      // Interrupted by close(), which writes the remaining lines.
     }
   }
 
-  private synchronized void flush(String first) {
+  private synchronized void flush(String firstLine) {
     List<String> lines = new ArrayList<>();
-    lines.add(first);
-    waiting.drainTo(lines);
-    long drops = dropped.get();
-    if (drops > reportedDrops) {
+    lines.add(firstLine);
+    queue.drainTo(lines);
+    long droppedNow = dropped.get();
+    if (droppedNow > reportedDroppedCount) {
       lines.add(
-          toLine(new Decision("linesDropped", "", "", "", "count=" + (drops - reportedDrops))));
-      reportedDrops = drops;
+          toLine(
+              new Decision(
+                  "linesDropped", "", "", "", "count=" + (droppedNow - reportedDroppedCount))));
+      reportedDroppedCount = droppedNow;
     }
     byte[] bytes = String.join("", lines).getBytes(StandardCharsets.UTF_8);
     out.write(bytes, 0, bytes.length);
     out.flush();
   }
 
-  /** The writer may hold a line that it took and has not written, often the last of a process. */
+  /**
+   * Waits for the writer thread, as it may have removed a line from the queue and not yet written
+   * it. That is often the last line of a process.
+   */
   private void awaitWriter() {
     try {
-      writer.join(CLOSE_WAIT_MS);
+      writer.join(CLOSE_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Writes what waits and ends. */
+  /** Writes the queued lines and ends the writer thread. */
   @Override
   public void close() {
     closed = true;
--- a/daemon/src/main/java/io/hingehoist/log/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/log/package-info.java
@@ -1,2 +1,2 @@
-/** The structured log. Begin with {@link io.hingehoist.log.DecisionLog}. */
+/** The structured log. Start with {@link io.hingehoist.log.DecisionLog}. */
 package io.hingehoist.log;
--- a/daemon/src/main/java/io/hingehoist/loop/InboxLoop.java
+++ b/daemon/src/main/java/io/hingehoist/loop/InboxLoop.java
@@ -9,27 +9,27 @@
 import java.util.function.Consumer;
 
 /**
- * One thread that owns the state of a node: it takes what other threads put into its queue, in
- * order and in batches, and wakes at short intervals without any. {@link #add} and {@link #close}
- * are thread-safe.
+ * A thread to which the state of a node is confined. It handles the events that other threads put
+ * into its queue, in order and in batches, and also wakes at short intervals without events. {@link
+ * #add} and {@link #close} are thread-safe.
  *
- * @param <E> what other threads put in
+ * @param <E> the type of events
  */
 public final class InboxLoop<E> implements AutoCloseable {
-  /** What a node does on its loop. */
+  /** The work of a node. Called on the loop's thread. */
   public interface Node<E> {
     /**
-     * Takes events, then does what the time has made due.
+     * Handles events, then performs the work that has become due.
      *
-     * @param events what came since the last call, at times nothing
-     * @throws IOException if the node must not go on
+     * @param events the events since the last call; may be empty
+     * @throws IOException if the node must stop
      */
     void onBatch(List<E> events, long nowMs) throws IOException;
 
     /**
-     * Frees what the node holds, after the last batch.
+     * Releases the resources of the node after the last batch.
      *
-     * @throws IOException if that fails
+     * @throws IOException if a resource can't be released
      */
     default void onClosed() throws IOException {}
   }
@@ -37,33 +37,33 @@
   private final long pollMs;
   private final int maxBatch;
   private final Node<E> node;
-  private final Consumer<Throwable> fatal;
+  private final Consumer<Throwable> onFatalError;
   private final Thread thread;
   private final BlockingQueue<E> inbox = new LinkedBlockingQueue<>();
   private volatile boolean closed;
 
   private InboxLoop(
-      String name, long pollMs, int maxBatch, Node<E> node, Consumer<Throwable> fatal) {
+      String name, long pollMs, int maxBatch, Node<E> node, Consumer<Throwable> onFatalError) {
     this.pollMs = pollMs;
     this.maxBatch = maxBatch;
     this.node = node;
-    this.fatal = fatal;
+    this.onFatalError = onFatalError;
     this.thread = new Thread(this::run, name);
   }
 
   /**
-   * Creates a loop that waits for {@link #start}.
+   * Creates a loop that runs once {@link #start} is called.
    *
-   * @param pollMs the longest time between two batches
-   * @param maxBatch the largest number of events in one
-   * @param fatal gets the error after which the process must not go on
+   * @param pollMs the maximum time between two batches
+   * @param maxBatch the maximum number of events in a batch
+   * @param onFatalError called with an error after which the process must stop
    */
   public static <E> InboxLoop<E> create(
-      String name, long pollMs, int maxBatch, Node<E> node, Consumer<Throwable> fatal) {
-    return new InboxLoop<>(name, pollMs, maxBatch, node, fatal);
+      String name, long pollMs, int maxBatch, Node<E> node, Consumer<Throwable> onFatalError) {
+    return new InboxLoop<>(name, pollMs, maxBatch, node, onFatalError);
   }
 
-  /** Returns a steady clock in milliseconds. */
+  /** Returns the time of a monotonic clock, in milliseconds. */
   public static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
@@ -94,21 +94,21 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException | RuntimeException | Error e) {
-      fatal.accept(e);
+      onFatalError.accept(e);
     }
   }
 
-  /** Ends the thread after the batch that it works on, and waits for that up to a time. */
-  public void close(long patienceMs) {
+  /** Ends the thread after the current batch, and waits for its end up to a time-out. */
+  public void close(long timeoutMs) {
     close();
     try {
-      thread.join(patienceMs);
+      thread.join(timeoutMs);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Ends the thread after the batch that it works on, without waiting for it. */
+  /** Ends the thread after the current batch, without waiting for its end. */
   @Override
   public void close() {
     closed = true;
--- a/daemon/src/main/java/io/hingehoist/loop/NodeLoop.java
+++ b/daemon/src/main/java/io/hingehoist/loop/NodeLoop.java
@@ -6,26 +6,26 @@
 import java.util.function.LongConsumer;
 
 /**
- * The part of a node that rides on the event loop: it ticks, and carries out what was decided once
- * for all events of one round of the loop. Called on the event loop, but for {@link #start} and
- * {@link #stop}.
+ * Runs a node on the event loop: calls it at regular ticks, and flushes the effects of its
+ * decisions once for all events of one iteration of the loop. Not thread-safe: confined to the
+ * event loop, except for {@link #start} and {@link #stop}.
  */
 public final class NodeLoop {
   private static final long TICK_MS = 50;
 
-  /** What a node does on its loop. */
+  /** The work of a node. Called on the event loop. */
   public interface Node {
-    /** Does what the time has made due. */
+    /** Performs the work that has become due. */
     void onTick(long nowMs);
 
-    /** Carries out what was decided since the last call. */
-    void settle(long nowMs);
+    /** Carries out the effects of all decisions since the last call. */
+    void flush(long nowMs);
   }
 
   private final EventLoop loop;
   private final PlannedStop stop;
   private final Node node;
-  private boolean settling;
+  private boolean flushScheduled;
 
   private NodeLoop(EventLoop loop, PlannedStop stop, Node node) {
     this.loop = loop;
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Creates a loop that does not tick yet.
+   * Creates a loop that ticks once {@link #start} is called.
    *
    * @param stop the planned stop of the process
    */
@@ -42,36 +42,36 @@
     return new NodeLoop(loop, stop, node);
   }
 
-  /** Starts to tick, after a first task. */
-  public void start(Runnable first) {
-    loop.execute(first);
+  /** Starts the ticks after a first task. */
+  public void start(Runnable firstTask) {
+    loop.execute(firstTask);
     loop.scheduleRepeating(this::tick, TICK_MS);
   }
 
   private void tick() {
     long nowMs = EventLoop.nowMs();
     node.onTick(nowMs);
-    settle();
+    flush();
   }
 
-  /** Settles after the events of this round. */
-  public void settleLater() {
-    if (!settling) {
-      settling = true;
-      loop.execute(this::settle);
+  /** Schedules a flush after the events that are already queued, unless one is scheduled. */
+  public void flushLater() {
+    if (!flushScheduled) {
+      flushScheduled = true;
+      loop.execute(this::flush);
     }
   }
 
-  private void settle() {
-    settling = false;
-    node.settle(EventLoop.nowMs());
+  private void flush() {
+    flushScheduled = false;
+    node.flush(EventLoop.nowMs());
   }
 
-  /** Returns a handler that settles after another. */
-  public <A> Consumer<A> settling(Consumer<A> handler) {
-    return answer -> {
-      handler.accept(answer);
-      settleLater();
+  /** Returns a handler that calls another one and schedules a flush. */
+  public <A> Consumer<A> andFlush(Consumer<A> handler) {
+    return event -> {
+      handler.accept(event);
+      flushLater();
     };
   }
 
@@ -81,19 +81,19 @@
   }
 
   /**
-   * Stops as planned: begins the stop on the loop and waits until the node has settled it, or its
-   * time is up. Called from another thread.
+   * Performs the planned stop: begins it on the loop, and waits until the node has completed it or
+   * its time-out has passed. Called from another thread than the event loop.
    *
-   * @param atBegin does what the node does first, given the time
-   * @return whether it was settled in time
+   * @param onBegin the node's first step of the stop, called with the time
+   * @return whether the stop was completed in time
    */
-  public boolean stop(LongConsumer atBegin) {
+  public boolean stop(LongConsumer onBegin) {
     loop.execute(
         () -> {
           long nowMs = EventLoop.nowMs();
           stop.begin(nowMs);
-          atBegin.accept(nowMs);
-          settleLater();
+          onBegin.accept(nowMs);
+          flushLater();
         });
     return stop.await();
   }
--- a/daemon/src/main/java/io/hingehoist/loop/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/loop/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The loops that nodes run on. A node's decisions have one owner: {@link
- * io.hingehoist.loop.InboxLoop} is a thread with a queue, for roles whose traffic has threads of
- * its own; {@link io.hingehoist.loop.NodeLoop} rides on the event loop that carries the
+ * The loops that nodes run on. The decisions of a node are confined to one thread: {@link
+ * io.hingehoist.loop.InboxLoop} is a thread with a queue, for roles whose connections have their
+ * own threads; {@link io.hingehoist.loop.NodeLoop} runs on the event loop that also handles the
  * connections.
  */
 package io.hingehoist.loop;
--- a/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
+++ b/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
@@ -12,13 +12,15 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What a process counts. One registry a process, so that tests can run several. Thread-safe.
+ * The metrics of a process. Each process has its own registry, so that tests can run several
+ * processes. Thread-safe.
  *
- * <p>Without exemplars: nothing here is traced, and their sampler keeps a thread that took 0.05 of
- * 2 s of a host's processor time, woken by what is counted ({@code ./bench --profile}).
+ * <p>Metrics are built without exemplars. Nothing is traced here, and the exemplar sampler has a
+ * thread that the counted events wake up, which took 0.05 s of 2 s of a host's CPU time ({@code
+ * ./bench --profile}).
  */
 public final class Metrics {
-  private static final double[] SECONDS = {
+  private static final double[] DURATION_BUCKETS_S = {
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30
   };
 
@@ -41,7 +43,7 @@
       Counter.builder()
           .name("hingehoist_bad_frames_total")
           .withoutExemplars()
-          .help("Frames that were not a message; the connection was closed.")
+          .help("Frames that could not be decoded; the connection was closed.")
           .register(registry);
   private final Counter outcomes =
       Counter.builder()
@@ -61,7 +63,7 @@
       Counter.builder()
           .name("hingehoist_heartbeats_ignored_total")
           .withoutExemplars()
-          .help("Heartbeats that name no worker to use, by what is wrong with them.")
+          .help("Ignored heartbeats, by problem.")
           .labelNames("problem")
           .register(registry);
   private final Histogram answerSeconds =
@@ -71,7 +73,7 @@
           .help("Time from a submission to its answer, by kind.")
           .labelNames("kind")
           .classicOnly()
-          .classicUpperBounds(SECONDS)
+          .classicUpperBounds(DURATION_BUCKETS_S)
           .register(registry);
   private final Histogram syncSeconds =
       Histogram.builder()
@@ -79,7 +81,7 @@
           .withoutExemplars()
           .help("Time of one synced write of the journal.")
           .classicOnly()
-          .classicUpperBounds(SECONDS)
+          .classicUpperBounds(DURATION_BUCKETS_S)
           .register(registry);
   private final Counter journalBytes =
       Counter.builder()
@@ -87,7 +89,7 @@
           .withoutExemplars()
           .help("Bytes written to the journal.")
           .register(registry);
-  private final Counter elections =
+  private final Counter roleChanges =
       Counter.builder()
           .name("hingehoist_role_changes_total")
           .withoutExemplars()
@@ -106,7 +108,7 @@
           .help("Tasks that the backend server ended, by state.")
           .labelNames("state")
           .register(registry);
-  private final Counter audits =
+  private final Counter settingsChanges =
       Counter.builder()
           .name("hingehoist_settings_changes_total")
           .withoutExemplars()
@@ -116,51 +118,51 @@
 
   /** The counters of one type of message in one direction. */
   private record MessageCount(CounterDataPoint messages, CounterDataPoint bytes) {
-    private void add(int size) {
+    private void add(int sizeBytes) {
       messages.inc();
-      bytes.inc(size);
+      bytes.inc(sizeBytes);
     }
   }
 
-  /** A label is looked up once for each type of message, not with each of them. */
+  /** Caches the counters of each message type, to avoid a label look-up for each message. */
   private final Map<Class<?>, MessageCount> sent = new ConcurrentHashMap<>();
 
   private final Map<Class<?>, MessageCount> received = new ConcurrentHashMap<>();
 
   private Metrics() {}
 
-  /** Creates an empty set of counters. */
+  /** Creates the metrics of a process, with a new registry. */
   public static Metrics create() {
     return new Metrics();
   }
 
-  /** Returns the registry that exporters read. */
+  /** Returns the registry for exporters. */
   public PrometheusRegistry registry() {
     return registry;
   }
 
   /** Counts a message that was sent. */
   public void countSent(Message message, int bytes) {
-    sent.computeIfAbsent(message.getClass(), type -> count("sent", type)).add(bytes);
+    sent.computeIfAbsent(message.getClass(), type -> messageCount("sent", type)).add(bytes);
   }
 
   /** Counts a message that was received. */
   public void countReceived(Message message, int bytes) {
-    received.computeIfAbsent(message.getClass(), type -> count("received", type)).add(bytes);
+    received.computeIfAbsent(message.getClass(), type -> messageCount("received", type)).add(bytes);
   }
 
-  private MessageCount count(String direction, Class<?> type) {
+  private MessageCount messageCount(String direction, Class<?> type) {
     String name = type.getSimpleName();
     return new MessageCount(
         messages.labelValues(direction, name), messageBytes.labelValues(direction, name));
   }
 
-  /** Counts a frame that was not a message. */
+  /** Counts a frame that could not be decoded. */
   public void countBadFrame() {
     badFrames.inc();
   }
 
-  /** Counts an answer and the time that it took. */
+  /** Counts an answer and records the time until it. */
   public void recordAnswer(String kind, String outcome, double seconds) {
     outcomes.labelValues(kind, outcome).inc();
     answerSeconds.labelValues(kind).observe(seconds);
@@ -171,20 +173,20 @@
     refusals.labelValues(cause).inc();
   }
 
-  /** Counts a heartbeat that names no worker to use. */
+  /** Counts an ignored heartbeat. */
   public void countIgnoredHeartbeat(String problem) {
     ignoredHeartbeats.labelValues(problem).inc();
   }
 
-  /** Counts a synced write. */
+  /** Records a synced write to the journal. */
   public void recordSync(int bytes, double seconds) {
     journalBytes.inc(bytes);
     syncSeconds.observe(seconds);
   }
 
-  /** Counts a change of role. */
+  /** Counts a change of a replica's role and sets the term. */
   public void recordRoleChange(String role, long newTerm) {
-    elections.labelValues(role).inc();
+    roleChanges.labelValues(role).inc();
     term.set(newTerm);
   }
 
@@ -195,10 +197,10 @@
 
   /** Counts a change of settings. */
   public void countSettingsChange(String result) {
-    audits.labelValues(result).inc();
+    settingsChanges.labelValues(result).inc();
   }
 
-  /** Adds a gauge that is read when it is asked for. */
+  /** Adds a gauge whose value is read when metrics are collected. */
   public void addGauge(String name, String help, DoubleSupplier value) {
     GaugeWithCallback.builder()
         .name(name)
--- a/daemon/src/main/java/io/hingehoist/metrics/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/metrics/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The counters and histograms of a process, for Prometheus.
+ * The Prometheus metrics of a process.
  *
- * <p>Begin with {@link io.hingehoist.metrics.Metrics}.
+ * <p>Start with {@link io.hingehoist.metrics.Metrics}.
  */
 package io.hingehoist.metrics;
--- a/daemon/src/main/java/io/hingehoist/net/ControlLinks.java
+++ b/daemon/src/main/java/io/hingehoist/net/ControlLinks.java
@@ -26,65 +26,68 @@
 import java.util.function.Consumer;
 
 /**
- * The connections of a process to every control replica that it knows of. It announces itself to
- * each, and so learns of the others and of documents whichever of them is well. Owned by the event
- * loop.
+ * The connections of a process to all control replicas that it knows of. The process announces
+ * itself to each of them, so it learns of other processes and of documents from any replica that
+ * works. Not thread-safe: confined to the event loop.
  */
 public final class ControlLinks implements AutoCloseable {
   /**
-   * Each process announces itself to each replica, and is answered. What changes is told at once;
-   * an announcement only keeps the directory fresh.
+   * The interval of announcements. Every process announces itself to every replica, and every
+   * announcement is answered. As changes are sent at once, announcements only keep the directory up
+   * to date.
    */
-  private static final long ANNOUNCE_MS = 2_000;
+  private static final long ANNOUNCE_INTERVAL_MS = 2_000;
 
-  /** After a start, when most others may have started as well, and for how long. */
-  private static final long EARLY_ANNOUNCE_MS = 500;
+  /** The interval shortly after a start, when most other processes may have started as well. */
+  private static final long STARTUP_ANNOUNCE_INTERVAL_MS = 500;
 
-  private static final long EARLY_MS = 4_000;
-  private static final long KEPT_MS = 600_000;
+  /** The time after a start for which the shorter interval applies. */
+  private static final long STARTUP_MS = 4_000;
+
+  private static final long PEER_RETENTION_MS = 600_000;
   private static final long READ_TIMEOUT_MS = 400;
 
-  /** An announcement, which is answered, and 300 ms for what holds the answer up. */
-  private static final long SILENT_AFTER_MS = ANNOUNCE_MS + 300;
+  /** The interval of announcements, which are answered, and 300 ms for a delayed answer. */
+  private static final long SILENCE_TIMEOUT_MS = ANNOUNCE_INTERVAL_MS + 300;
 
-  /** Takes what control replicas say, on the event loop. */
+  /** Handles messages of control replicas. Called on the event loop. */
   public interface Listener {
-    /** Takes the directory after a change. */
+    /** Called after the directory has changed. */
     void onDirectory(PeerDirectory directory);
 
-    /** Takes word of a committed document's version. */
+    /** Called with the version of a committed document. */
     void onNotice(String address, DocumentNotice notice);
 
-    /** Takes a part of newer routes. */
+    /** Called with a part of newer routes. */
     void onRoutes(String address, RoutesPart part);
 
-    /** Takes word of the evacuated availability zones. */
+    /** Called with the evacuated availability zones. */
     void onZones(String address, EvacuatedZones zones);
 
-    /** Notes that a control replica was found or lost. */
+    /** Called when the connection to a control replica opens or closes. */
     void onControl(String address, boolean found);
   }
 
   private static final class Link {
-    private PeerLink frames;
+    private PeerLink peerLink;
     private long directoryVersion;
   }
 
-  /** The newest version of a document, and the replica that said so. */
-  public record Newest(String address, long version) {}
+  /** The newest version of a document, and the replica that reported it. */
+  public record ReportedVersion(String address, long version) {}
 
-  private record PendingRead(Consumer<Optional<Newest>> result) {}
+  private record PendingRead(Consumer<Optional<ReportedVersion>> result) {}
 
   private final EventLoop loop;
   private final Peer self;
   private final Metrics metrics;
   private final Listener listener;
-  private final PeerDirectory directory = PeerDirectory.create(KEPT_MS);
+  private final PeerDirectory directory = PeerDirectory.create(PEER_RETENTION_MS);
   private final Map<String, Link> links = new HashMap<>();
-  private final Map<Long, PendingRead> reads = new HashMap<>();
+  private final Map<Long, PendingRead> pendingReads = new HashMap<>();
   private final long startedAtMs = EventLoop.nowMs();
   private long announcedAtMs;
-  private long nextRead;
+  private long lastReadId;
 
   private ControlLinks(EventLoop loop, Peer self, Metrics metrics, Listener listener) {
     this.loop = loop;
@@ -93,23 +96,23 @@
     this.listener = listener;
   }
 
-  /** Creates links to no replica yet. */
+  /** Creates an empty set of links. */
   public static ControlLinks create(EventLoop loop, Peer self, Metrics metrics, Listener listener) {
     return new ControlLinks(loop, self, metrics, listener);
   }
 
-  /** Opens links to replicas, in addition to those that are open. */
+  /** Opens links to further replicas. */
   public void open(List<String> addresses) {
     for (String address : addresses) {
       if (!links.containsKey(address)) {
         Link link = new Link();
         links.put(address, link);
-        link.frames =
+        link.peerLink =
             PeerLink.open(
                 loop,
                 address,
                 self.address(),
-                SILENT_AFTER_MS,
+                SILENCE_TIMEOUT_MS,
                 this::hello,
                 new ControlHandler(link),
                 metrics);
@@ -122,25 +125,26 @@
         self.role(), self.nodeId(), self.incarnation(), "", FrameConnection.PROTOCOL_VERSION);
   }
 
-  /** Returns what this process knows of others. */
+  /** Returns the directory of known processes. */
   public PeerDirectory directory() {
     return directory;
   }
 
-  /** Takes a process that made itself known here. */
-  public void told(Peer peer) {
-    long before = directory.version();
+  /** Adds a process that announced itself to this one. */
+  public void addAnnounced(Peer peer) {
+    long versionBefore = directory.version();
     directory.told(peer, EventLoop.nowMs());
-    if (directory.version() != before) {
+    if (directory.version() != versionBefore) {
       directoryChanged();
     }
   }
 
-  /** Announces this process when that is due. Called at short intervals. */
+  /** Announces this process if an announcement is due. Called at short intervals. */
   public void onTick(long nowMs) {
-    links.values().forEach(link -> link.frames.onTick(nowMs));
-    boolean early = nowMs - startedAtMs < EARLY_MS;
-    if (nowMs - announcedAtMs < (early ? EARLY_ANNOUNCE_MS : ANNOUNCE_MS)) {
+    links.values().forEach(link -> link.peerLink.onTick(nowMs));
+    boolean startingUp = nowMs - startedAtMs < STARTUP_MS;
+    if (nowMs - announcedAtMs
+        < (startingUp ? STARTUP_ANNOUNCE_INTERVAL_MS : ANNOUNCE_INTERVAL_MS)) {
       return;
     }
     announcedAtMs = nowMs;
@@ -149,7 +153,7 @@
   }
 
   private void announce(Link link) {
-    link.frames.send(new Announce(self, List.of(), link.directoryVersion));
+    link.peerLink.send(new Announce(self, List.of(), link.directoryVersion));
   }
 
   private void directoryChanged() {
@@ -157,29 +161,29 @@
     listener.onDirectory(directory);
   }
 
-  /** Sends a message to a replica, if a link to it is open. */
+  /** Sends a message to a replica, or drops it if no connection to the replica is open. */
   public void send(String address, Message message) {
     Link link = links.get(address);
     if (link != null) {
-      link.frames.send(message);
+      link.peerLink.send(message);
     }
   }
 
   /**
-   * Reads from whichever replica leads which version of a document is the newest.
+   * Reads the newest version of a document from the leader.
    *
-   * @param result gets it; empty if no leader answers in time
+   * @param result accepts the version; empty if no leader answers in time
    */
-  public void readNewestVersion(String document, Consumer<Optional<Newest>> result) {
-    long id = ++nextRead;
-    reads.put(id, new PendingRead(result));
+  public void readNewestVersion(String document, Consumer<Optional<ReportedVersion>> result) {
+    long id = ++lastReadId;
+    pendingReads.put(id, new PendingRead(result));
     QueryRequest request = new QueryRequest(id, new GetDocumentVersion(document).toBytes());
-    links.values().forEach(link -> link.frames.send(request));
-    loop.schedule(() -> settle(id, Optional.empty()), READ_TIMEOUT_MS);
+    links.values().forEach(link -> link.peerLink.send(request));
+    loop.schedule(() -> completeRead(id, Optional.empty()), READ_TIMEOUT_MS);
   }
 
-  private void settle(long id, Optional<Newest> version) {
-    PendingRead read = reads.remove(id);
+  private void completeRead(long id, Optional<ReportedVersion> version) {
+    PendingRead read = pendingReads.remove(id);
     if (read != null) {
       read.result().accept(version);
     }
@@ -196,45 +200,45 @@
     public void onOpen(PeerChannel channel) {
       link.directoryVersion = 0;
       announce(link);
-      listener.onControl(link.frames.address(), true);
+      listener.onControl(link.peerLink.address(), true);
     }
 
     @Override
     public void onMessage(PeerChannel channel, Message message) {
       switch (message) {
-        case Directory update -> take(update);
-        case DocumentNotice notice -> listener.onNotice(link.frames.address(), notice);
-        case RoutesPart part -> listener.onRoutes(link.frames.address(), part);
-        case EvacuatedZones zones -> listener.onZones(link.frames.address(), zones);
-        case QueryResponse response -> take(response);
+        case Directory update -> handleDirectory(update);
+        case DocumentNotice notice -> listener.onNotice(link.peerLink.address(), notice);
+        case RoutesPart part -> listener.onRoutes(link.peerLink.address(), part);
+        case EvacuatedZones zones -> listener.onZones(link.peerLink.address(), zones);
+        case QueryResponse response -> handleResponse(response);
         default -> channel.close();
       }
     }
 
-    private void take(Directory update) {
+    private void handleDirectory(Directory update) {
       if (update.version() == link.directoryVersion) {
         directory.confirmed(EventLoop.nowMs());
         return;
       }
       link.directoryVersion = update.version();
-      long before = directory.version();
+      long versionBefore = directory.version();
       long nowMs = EventLoop.nowMs();
       update.peers().forEach(peer -> directory.learned(peer, nowMs));
-      if (directory.version() != before) {
+      if (directory.version() != versionBefore) {
         directoryChanged();
       }
     }
 
-    private void take(QueryResponse response) {
+    private void handleResponse(QueryResponse response) {
       if (response.status() == ReplyStatus.OK) {
-        settle(response.requestId(), decode(response));
+        completeRead(response.requestId(), decode(response));
       }
     }
 
-    private Optional<Newest> decode(QueryResponse response) {
+    private Optional<ReportedVersion> decode(QueryResponse response) {
       try {
         return QueryAnswer.fromBytes(response.result()) instanceof NewestVersion newest
-            ? Optional.of(new Newest(link.frames.address(), newest.version()))
+            ? Optional.of(new ReportedVersion(link.peerLink.address(), newest.version()))
             : Optional.empty();
       } catch (IOException e) {
         return Optional.empty();
@@ -243,12 +247,12 @@
 
     @Override
     public void onClosed(PeerChannel channel) {
-      listener.onControl(link.frames.address(), false);
+      listener.onControl(link.peerLink.address(), false);
     }
   }
 
   @Override
   public void close() {
-    links.values().forEach(link -> link.frames.close());
+    links.values().forEach(link -> link.peerLink.close());
   }
 }
--- a/daemon/src/main/java/io/hingehoist/net/EventLoop.java
+++ b/daemon/src/main/java/io/hingehoist/net/EventLoop.java
@@ -7,67 +7,75 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** One thread that carries the connections of a process and runs what it is given, in order. */
+/**
+ * A single thread that handles the connections of a process and runs submitted tasks in order.
+ * Thread-safe.
+ */
 public final class EventLoop implements AutoCloseable {
   private final EventLoopGroup group;
   private final io.netty.channel.EventLoop loop;
-  private final Consumer<Throwable> fatal;
+  private final Consumer<Throwable> onFatalError;
 
-  private EventLoop(Consumer<Throwable> fatal) {
+  private EventLoop(Consumer<Throwable> onFatalError) {
     this.group =
         new MultiThreadIoEventLoopGroup(
             1,
             (java.util.concurrent.ThreadFactory) task -> new Thread(task, "loop"),
             NioIoHandler.newFactory());
     this.loop = group.next();
-    this.fatal = fatal;
+    this.onFatalError = onFatalError;
   }
 
   /**
    * Starts a loop.
    *
-   * @param fatal gets an error of a task after which the process must not go on
+   * @param onFatalError called with an error of a task after which the process must stop
    */
-  public static EventLoop start(Consumer<Throwable> fatal) {
-    return new EventLoop(fatal);
+  public static EventLoop start(Consumer<Throwable> onFatalError) {
+    return new EventLoop(onFatalError);
   }
 
-  /** Returns a steady clock in milliseconds. */
+  /** Returns the time of a monotonic clock, in milliseconds. */
   public static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Runs a task on the loop, after what it does now. */
+  /** Runs a task on the loop, after the tasks that were submitted before. */
   public void execute(Runnable task) {
-    loop.execute(guarded(task));
+    loop.execute(reportingErrors(task));
   }
 
-  /** Runs a task on the loop after a time. Returns how to call it off; called on the loop. */
+  /**
+   * Runs a task on the loop after a delay.
+   *
+   * @return an action that cancels the task; to be run on the loop
+   */
   public Runnable schedule(Runnable task, long delayMs) {
-    Future<?> scheduled = loop.schedule(guarded(task), delayMs, TimeUnit.MILLISECONDS);
+    Future<?> scheduled = loop.schedule(reportingErrors(task), delayMs, TimeUnit.MILLISECONDS);
     return () -> scheduled.cancel(false);
   }
 
-  /** Runs a task on the loop again and again. */
-  public void scheduleRepeating(Runnable task, long periodMs) {
-    loop.scheduleWithFixedDelay(guarded(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
+  /** Runs a task on the loop repeatedly, with a fixed delay between two runs. */
+  public void scheduleRepeating(Runnable task, long delayMs) {
+    loop.scheduleWithFixedDelay(reportingErrors(task), delayMs, delayMs, TimeUnit.MILLISECONDS);
   }
 
-  private Runnable guarded(Runnable task) {
+  private Runnable reportingErrors(Runnable task) {
     return () -> {
       try {
         task.run();
       } catch (RuntimeException | Error e) {
-        fatal.accept(e);
+        onFatalError.accept(e);
       }
     };
   }
 
-  /** Stops the process on an error that a handler of this loop could not deal with. */
-  void fail(Throwable error) {
-    fatal.accept(error);
+  /** Reports an error that a handler on this loop can't recover from; the process must stop. */
+  void reportFatal(Throwable error) {
+    onFatalError.accept(error);
   }
 
+  /** Returns Netty's group that contains only this loop. */
   EventLoopGroup group() {
     return group;
   }
--- a/daemon/src/main/java/io/hingehoist/net/HttpConnection.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpConnection.java
@@ -21,25 +21,25 @@
 import java.util.Optional;
 
 /**
- * One connection of a caller: puts requests together, hands them on one after the other, and writes
- * their answers. A body that is too large is read to its end before it is refused, as a caller that
- * is still sending would not see the answer.
+ * A connection of a caller: assembles requests, passes them on one at a time, and writes their
+ * responses. A body that is too large is read to its end before it is refused, as a caller that is
+ * still sending would not read the response. Not thread-safe: confined to the event loop.
  */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
   private static final int MAX_WAITING = 64;
   private static final long MAX_REFUSED_BYTES = 64L * 1024 * 1024;
   private static final long MS_PER_SECOND = 1_000;
 
-  private record Waiting(HttpRequest request, boolean keepAlive) {}
+  private record PendingRequest(HttpRequest request, boolean keepAlive) {}
 
   private final HttpServer server;
   private final EventLoop loop;
-  private final Deque<Waiting> waiting = new ArrayDeque<>();
-  private Optional<HttpExchange> open = Optional.empty();
+  private final Deque<PendingRequest> waiting = new ArrayDeque<>();
+  private Optional<HttpExchange> inFlight = Optional.empty();
   private io.netty.handler.codec.http.HttpRequest head;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private long bodyBytes;
-  private boolean bad;
+  private boolean malformed;
 
   HttpConnection(HttpServer server, EventLoop loop) {
     this.server = server;
@@ -51,7 +51,7 @@
     try {
       read(context, (HttpObject) part);
     } catch (RuntimeException | Error e) {
-      loop.fail(e);
+      loop.reportFatal(e);
     } finally {
       ReferenceCountUtil.release(part);
     }
@@ -59,22 +59,22 @@
 
   private void read(ChannelHandlerContext context, HttpObject part) {
     if (part.decoderResult().isFailure()) {
-      refuseGarbage(context);
+      refuseMalformed(context);
       return;
     }
     if (part instanceof io.netty.handler.codec.http.HttpRequest newHead) {
       begin(context, newHead);
     }
     if (part instanceof HttpContent content) {
-      take(context, content);
+      addContent(context, content);
     }
     if (part instanceof LastHttpContent) {
       finish(context);
     }
   }
 
-  private void refuseGarbage(ChannelHandlerContext context) {
-    bad = true;
+  private void refuseMalformed(ChannelHandlerContext context) {
+    malformed = true;
     write(context, HttpResponse.text(400, "not an HTTP request"), false);
   }
 
@@ -90,11 +90,11 @@
   }
 
   private int expectedBytes(io.netty.handler.codec.http.HttpRequest newHead) {
-    long named = HttpUtil.getContentLength(newHead, 0L);
-    return (int) Math.min(named, server.maxBodyBytes());
+    long contentLength = HttpUtil.getContentLength(newHead, 0L);
+    return (int) Math.min(contentLength, server.maxBodyBytes());
   }
 
-  private void take(ChannelHandlerContext context, HttpContent content) {
+  private void addContent(ChannelHandlerContext context, HttpContent content) {
     bodyBytes += content.content().readableBytes();
     if (bodyBytes <= server.maxBodyBytes()) {
       body.writeBytes(content.content());
@@ -104,11 +104,11 @@
   }
 
   private void finish(ChannelHandlerContext context) {
-    byte[] whole = new byte[body.readableBytes()];
-    body.readBytes(whole);
+    byte[] bodyContent = new byte[body.readableBytes()];
+    body.readBytes(bodyContent);
     body.release();
     body = Unpooled.EMPTY_BUFFER;
-    if (bad || head == null) {
+    if (malformed || head == null) {
       return;
     }
     boolean keepAlive = HttpUtil.isKeepAlive(head);
@@ -123,63 +123,63 @@
       return;
     }
     String uri = head.uri();
-    int query = uri.indexOf('?');
-    String path = query < 0 ? uri : uri.substring(0, query);
-    HttpRequest request = new HttpRequest(head.method().name(), path, head.headers(), whole);
+    int queryStart = uri.indexOf('?');
+    String path = queryStart < 0 ? uri : uri.substring(0, queryStart);
+    HttpRequest request = new HttpRequest(head.method().name(), path, head.headers(), bodyContent);
     if (waiting.size() >= MAX_WAITING) {
       context.close();
       return;
     }
-    waiting.add(new Waiting(request, keepAlive));
-    next(context);
+    waiting.add(new PendingRequest(request, keepAlive));
+    handleNext(context);
   }
 
-  private void next(ChannelHandlerContext context) {
-    if (open.isPresent() || waiting.isEmpty()) {
+  private void handleNext(ChannelHandlerContext context) {
+    if (inFlight.isPresent() || waiting.isEmpty()) {
       return;
     }
-    Waiting first = waiting.remove();
-    HttpExchange call =
+    PendingRequest first = waiting.remove();
+    HttpExchange exchange =
         new HttpExchange(
             first.request(),
-            answer -> answered(context, answer, first.keepAlive()),
-            () -> brokenOff(context));
-    open = Optional.of(call);
-    server.handle(call);
+            response -> onAnswered(context, response, first.keepAlive()),
+            () -> onAborted(context));
+    inFlight = Optional.of(exchange);
+    server.handle(exchange);
   }
 
-  private void answered(ChannelHandlerContext context, HttpResponse answer, boolean keepAlive) {
-    open = Optional.empty();
-    server.callOver();
-    write(context, answer, keepAlive);
-    next(context);
+  private void onAnswered(ChannelHandlerContext context, HttpResponse response, boolean keepAlive) {
+    inFlight = Optional.empty();
+    server.exchangeEnded();
+    write(context, response, keepAlive);
+    handleNext(context);
   }
 
-  private void brokenOff(ChannelHandlerContext context) {
-    open = Optional.empty();
-    server.callOver();
+  private void onAborted(ChannelHandlerContext context) {
+    inFlight = Optional.empty();
+    server.exchangeEnded();
     Resets.reset(context.channel());
   }
 
-  private void write(ChannelHandlerContext context, HttpResponse answer, boolean keepAlive) {
-    FullHttpResponse response =
+  private void write(ChannelHandlerContext context, HttpResponse response, boolean keepAlive) {
+    FullHttpResponse message =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(answer.status()),
-            Unpooled.wrappedBuffer(answer.body()));
-    response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
-    response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
-    if (answer.retryAfterMs().isPresent()) {
-      long seconds = Math.ceilDiv(answer.retryAfterMs().getAsLong(), MS_PER_SECOND);
-      response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
+            HttpResponseStatus.valueOf(response.status()),
+            Unpooled.wrappedBuffer(response.body()));
+    message.headers().set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
+    message.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+    if (response.retryAfterMs().isPresent()) {
+      long seconds = Math.ceilDiv(response.retryAfterMs().getAsLong(), MS_PER_SECOND);
+      message.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
     }
-    answer.location().ifPresent(url -> response.headers().set(HttpHeaderNames.LOCATION, url));
-    boolean keeps = keepAlive && !server.closesConnections() && waiting.isEmpty();
-    if (!keeps && waiting.isEmpty()) {
-      response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-      context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+    response.location().ifPresent(url -> message.headers().set(HttpHeaderNames.LOCATION, url));
+    boolean staysOpen = keepAlive && !server.closesConnections() && waiting.isEmpty();
+    if (!staysOpen && waiting.isEmpty()) {
+      message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+      context.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE);
     } else {
-      context.writeAndFlush(response, context.voidPromise());
+      context.writeAndFlush(message, context.voidPromise());
     }
   }
 
@@ -188,14 +188,14 @@
     body.release();
     body = Unpooled.EMPTY_BUFFER;
     waiting.clear();
-    if (open.isPresent()) {
-      HttpExchange call = open.get();
-      open = Optional.empty();
-      server.callOver();
+    if (inFlight.isPresent()) {
+      HttpExchange exchange = inFlight.get();
+      inFlight = Optional.empty();
+      server.exchangeEnded();
       try {
-        call.abandon();
+        exchange.disconnected();
       } catch (RuntimeException | Error e) {
-        loop.fail(e);
+        loop.reportFatal(e);
       }
     }
   }
--- a/daemon/src/main/java/io/hingehoist/net/HttpExchange.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpExchange.java
@@ -2,18 +2,18 @@
 
 import java.util.function.Consumer;
 
-/** One HTTP request that waits for its answer. Owned by the event loop. */
+/** An HTTP request that awaits its response. Not thread-safe: confined to the event loop. */
 public final class HttpExchange {
   private final HttpRequest request;
-  private final Consumer<HttpResponse> answers;
-  private final Runnable breaker;
+  private final Consumer<HttpResponse> responses;
+  private final Runnable resetConnection;
   private Runnable onDisconnect = () -> {};
   private boolean over;
 
-  HttpExchange(HttpRequest request, Consumer<HttpResponse> answers, Runnable breaker) {
+  HttpExchange(HttpRequest request, Consumer<HttpResponse> responses, Runnable resetConnection) {
     this.request = request;
-    this.answers = answers;
-    this.breaker = breaker;
+    this.responses = responses;
+    this.resetConnection = resetConnection;
   }
 
   /** Returns the request. */
@@ -21,28 +21,29 @@
     return request;
   }
 
-  /** Answers the request, unless it was answered or its caller is gone. */
-  public void answer(HttpResponse answer) {
+  /** Sends the response, unless the exchange is over or the caller has disconnected. */
+  public void answer(HttpResponse response) {
     if (!over) {
       over = true;
-      answers.accept(answer);
+      responses.accept(response);
     }
   }
 
-  /** Closes the connection without an answer: nothing can be said of the request. */
+  /** Resets the connection without a response, as the state of the request is not known. */
   public void abort() {
     if (!over) {
       over = true;
-      breaker.run();
+      resetConnection.run();
     }
   }
 
-  /** Says what to do when the caller leaves before its answer. */
+  /** Sets the action to run if the caller disconnects before the response. */
   public void onDisconnect(Runnable action) {
     onDisconnect = action;
   }
 
-  void abandon() {
+  /** Ends the exchange after the caller has disconnected. */
+  void disconnected() {
     if (!over) {
       over = true;
       onDisconnect.run();
--- a/daemon/src/main/java/io/hingehoist/net/HttpHandler.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpHandler.java
@@ -1,9 +1,9 @@
 package io.hingehoist.net;
 
-/** Takes HTTP requests, on the event loop. */
+/** Handles HTTP requests on the event loop. */
 @FunctionalInterface
 public interface HttpHandler {
 
-  /** Takes a request, and answers it now or later. */
-  void handle(HttpExchange call);
+  /** Handles a request; the response may be sent now or later. */
+  void handle(HttpExchange exchange);
 }
--- a/daemon/src/main/java/io/hingehoist/net/HttpRequest.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpRequest.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Optional;
 
-/** A whole HTTP request. */
+/** A complete HTTP request. */
 public final class HttpRequest {
   private final String method;
   private final String path;
@@ -22,24 +22,24 @@
     return method;
   }
 
-  /** Returns the path, without a query. */
+  /** Returns the path without the query. */
   public String path() {
     return path;
   }
 
-  /** Returns the first value of a header. */
+  /** Returns the first value of a header, or empty if the header is missing. */
   public Optional<String> header(String name) {
     return Optional.ofNullable(headers.get(name));
   }
 
-  /** Returns the host that the request names, without a port; empty if it names none. */
+  /** Returns the host of the {@code Host} header without the port; empty if there is none. */
   public String host() {
     String host = headers.get("Host", "");
     int colon = host.lastIndexOf(':');
     return colon < 0 ? host : host.substring(0, colon);
   }
 
-  /** Returns the body. The caller doesn't change it. */
+  /** Returns the body, which must not be modified. */
   public byte[] body() {
     return body;
   }
--- a/daemon/src/main/java/io/hingehoist/net/HttpResponse.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpResponse.java
@@ -5,13 +5,13 @@
 import java.util.OptionalLong;
 
 /**
- * An answer to an HTTP request.
+ * A response to an HTTP request.
  *
  * @param status the status code
- * @param contentType the type of the body
- * @param body the body; not changed afterwards
- * @param retryAfterMs when to come back; empty for no word on it
- * @param location where to ask instead; empty for nowhere else
+ * @param contentType the content type of the body
+ * @param body the body, which must not be modified
+ * @param retryAfterMs the delay before a retry; empty for none
+ * @param location the URL of a redirect; empty for none
  */
 public record HttpResponse(
     int status,
@@ -21,17 +21,17 @@
     Optional<String> location) {
   private static final String JSON = "application/json";
 
-  /** Returns an answer with a JSON body. */
+  /** Returns a response with a JSON body. */
   public static HttpResponse json(int status, String body) {
     return json(status, body.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Returns an answer with a JSON body. */
+  /** Returns a response with a JSON body. */
   public static HttpResponse json(int status, byte[] body) {
     return new HttpResponse(status, JSON, body, OptionalLong.empty(), Optional.empty());
   }
 
-  /** Returns an answer with a text body. */
+  /** Returns a response with a text body. */
   public static HttpResponse text(int status, String body) {
     return new HttpResponse(
         status,
@@ -41,14 +41,14 @@
         Optional.empty());
   }
 
-  /** Returns an answer that sends the caller to another place. */
+  /** Returns a response that redirects the caller to another URL. */
   public static HttpResponse redirect(String url) {
     return new HttpResponse(
         307, JSON, "{}".getBytes(StandardCharsets.UTF_8), OptionalLong.empty(), Optional.of(url));
   }
 
-  /** Returns this answer with word on when to come back. */
-  public HttpResponse retryAfter(long ms) {
-    return new HttpResponse(status, contentType, body, OptionalLong.of(ms), location);
+  /** Returns this response with a delay before a retry. */
+  public HttpResponse retryAfter(long delayMs) {
+    return new HttpResponse(status, contentType, body, OptionalLong.of(delayMs), location);
   }
 }
--- a/daemon/src/main/java/io/hingehoist/net/HttpResult.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpResult.java
@@ -1,14 +1,14 @@
 package io.hingehoist.net;
 
-/** What became of an HTTP call that this process made. */
+/** The result of an HTTP request that this process sent. */
 public sealed interface HttpResult {
 
-  /** A whole answer came. */
+  /** A complete response was received. */
   record Answered(int status, byte[] body) implements HttpResult {}
 
-  /** Nobody listens at the address; nothing was done. */
+  /** The connection was refused, so the request was not carried out. */
   record ConnectionRefused() implements HttpResult {}
 
-  /** No answer came in time, or the connection broke: the call may have been carried out. */
+  /** The request timed out or the connection broke, so it may have been carried out. */
   record Unanswered() implements HttpResult {}
 }
--- a/daemon/src/main/java/io/hingehoist/net/HttpServer.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpServer.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import java.io.IOException;
 
-/** Serves HTTP/1.1 on one address. Owned by the event loop. */
+/** An HTTP/1.1 server on one address. Not thread-safe: confined to the event loop. */
 public final class HttpServer implements AutoCloseable {
   private static final int BACKLOG = 1_024;
   private static final int MAX_HEADER_BYTES = 16 * 1024;
@@ -19,7 +19,7 @@
   private final int maxBodyBytes;
   private final HttpHandler handler;
   private boolean closesConnections;
-  private int openCalls;
+  private int openExchanges;
 
   private HttpServer(EventLoop loop, String address, int maxBodyBytes, HttpHandler handler)
       throws IOException {
@@ -50,7 +50,8 @@
   /**
    * Opens a server.
    *
-   * @param maxBodyBytes the largest body; a larger one is read to its end and answered with 413
+   * @param maxBodyBytes the maximum size of a body; a larger one is read to its end and refused
+   *     with status 413
    * @throws IOException if the address can't be opened
    */
   public static HttpServer open(
@@ -62,30 +63,31 @@
     return maxBodyBytes;
   }
 
-  void handle(HttpExchange call) {
-    openCalls++;
-    handler.handle(call);
+  void handle(HttpExchange exchange) {
+    openExchanges++;
+    handler.handle(exchange);
   }
 
-  void callOver() {
-    openCalls--;
+  /** Called when a request was answered, aborted, or its caller has disconnected. */
+  void exchangeEnded() {
+    openExchanges--;
   }
 
   boolean closesConnections() {
     return closesConnections;
   }
 
-  /** Returns the number of requests that have no answer yet. */
-  public int openCalls() {
-    return openCalls;
+  /** Returns the number of requests without a response. */
+  public int openExchanges() {
+    return openExchanges;
   }
 
-  /** Closes each connection after its next answer, so that callers turn to other boxes. */
-  public void closeAfterAnswers() {
+  /** Closes each connection after its next response, so that callers connect to other boxes. */
+  public void closeAfterResponses() {
     closesConnections = true;
   }
 
-  /** Takes no new connections; those that are open go on. */
+  /** Stops accepting connections; open ones are kept. */
   @Override
   public void close() {
     listener.close();
--- a/daemon/src/main/java/io/hingehoist/net/Listeners.java
+++ b/daemon/src/main/java/io/hingehoist/net/Listeners.java
@@ -6,14 +6,15 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Static helpers that open addresses. */
+/** Static helpers that bind server sockets. */
 final class Listeners {
   private Listeners() {}
 
+  /** Binds a server socket and waits until it is bound. */
   static Channel bind(ServerBootstrap bootstrap, InetSocketAddress address) throws IOException {
     ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
     if (!bound.isSuccess()) {
-      throw new IOException("can't open " + address + ": " + bound.cause(), bound.cause());
+      throw new IOException("can't bind " + address + ": " + bound.cause(), bound.cause());
     }
     return bound.channel();
   }
--- a/daemon/src/main/java/io/hingehoist/net/PeerChannel.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerChannel.java
@@ -18,30 +18,32 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * One open connection to another hingehoist process, with the frames of {@link
- * io.hingehoist.wire.FrameConnection}. Messages are sent from the event loop.
+ * A connection to another hingehoist process, with the frames of {@link
+ * io.hingehoist.wire.FrameConnection}. Not thread-safe: confined to the event loop.
  *
- * <p>A frame that is not a message closes the connection and is counted. So does a peer that does
- * not read: it has to catch up on a new connection.
+ * <p>A frame that can't be decoded is counted and closes the connection. If the peer reads so
+ * slowly that too many bytes are unsent, the connection is closed, and the peer has to reconnect
+ * and catch up.
  */
 public final class PeerChannel implements MessageSink {
   private static final int LENGTH_BYTES = 4;
   private static final int MAX_UNSENT_BYTES = 8 * 1024 * 1024;
-  private static final int FLUSH_AFTER = 64;
+  private static final int MAX_UNFLUSHED_MESSAGES = 64;
   private static final AtomicLong NEXT_ID = new AtomicLong();
 
   private final long id = NEXT_ID.incrementAndGet();
   private final Channel channel;
   private final Metrics metrics;
   private final long openedAtMs = EventLoop.nowMs();
-  private long heardAtMs = openedAtMs;
-  private boolean heard;
+  private long lastReceivedAtMs = openedAtMs;
+  private boolean received;
 
   private PeerChannel(Channel channel, Metrics metrics) {
     this.channel = channel;
     this.metrics = metrics;
   }
 
+  /** Adds the handlers of frames to a new connection, whose messages go to a handler. */
   static void install(Channel channel, PeerHandler handler, Metrics metrics, EventLoop loop) {
     channel.config().setOption(ChannelOption.TCP_NODELAY, true);
     channel
@@ -52,31 +54,31 @@
     PeerChannel peer = new PeerChannel(channel, metrics);
     channel
         .pipeline()
-        .addLast(new FlushConsolidationHandler(FLUSH_AFTER, true))
+        .addLast(new FlushConsolidationHandler(MAX_UNFLUSHED_MESSAGES, true))
         .addLast(
             new LengthFieldBasedFrameDecoder(
                 FrameConnection.MAX_FRAME_BYTES + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
         .addLast(peer.new Receiver(handler, loop));
   }
 
-  /** Returns a number that no other connection of this process has. */
+  /** Returns an id that is unique among the connections of this process. */
   public long id() {
     return id;
   }
 
-  /** Returns when the last frame came, or when the connection was opened. */
-  public long heardAtMs() {
-    return heardAtMs;
+  /** Returns when the last frame was received, or if none was, when the connection was opened. */
+  public long lastReceivedAtMs() {
+    return lastReceivedAtMs;
   }
 
-  /** Returns the time from the opening to the last frame. */
-  long heardForMs() {
-    return heardAtMs - openedAtMs;
+  /** Returns the time from the opening of the connection to the last received frame. */
+  long activeForMs() {
+    return lastReceivedAtMs - openedAtMs;
   }
 
-  /** Returns whether a frame has come. */
-  boolean wasHeard() {
-    return heard;
+  /** Returns whether a frame was received. */
+  boolean hasReceived() {
+    return received;
   }
 
   @Override
@@ -102,7 +104,7 @@
     return true;
   }
 
-  /** Closes the connection; what is not sent yet is dropped, and what comes late is not read. */
+  /** Resets the connection; unsent messages are dropped, and late ones are not read. */
   public void close() {
     Resets.reset(channel);
   }
@@ -118,12 +120,12 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      guarded(() -> handler.onOpen(PeerChannel.this));
+      reportingErrors(() -> handler.onOpen(PeerChannel.this));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      guarded(() -> handler.onClosed(PeerChannel.this));
+      reportingErrors(() -> handler.onClosed(PeerChannel.this));
     }
 
     @Override
@@ -132,19 +134,19 @@
       byte[] body = new byte[buffer.readableBytes()];
       buffer.readBytes(body);
       buffer.release();
-      heardAtMs = EventLoop.nowMs();
-      heard = true;
+      lastReceivedAtMs = EventLoop.nowMs();
+      received = true;
       try {
         Message message = Message.fromBytes(Bytes.copyOf(body));
         metrics.countReceived(message, body.length);
-        guarded(() -> take(message));
+        reportingErrors(() -> handleMessage(message));
       } catch (IOException e) {
         metrics.countBadFrame();
         close();
       }
     }
 
-    private void take(Message message) {
+    private void handleMessage(Message message) {
       switch (message) {
         case KeepAlive keepAlive when keepAlive.asks() -> send(new KeepAlive(false));
         case KeepAlive answer -> {}
@@ -157,11 +159,11 @@
       close();
     }
 
-    private void guarded(Runnable action) {
+    private void reportingErrors(Runnable action) {
       try {
         action.run();
       } catch (RuntimeException | Error e) {
-        loop.fail(e);
+        loop.reportFatal(e);
       }
     }
   }
--- a/daemon/src/main/java/io/hingehoist/net/PeerHandler.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerHandler.java
@@ -2,20 +2,21 @@
 
 import io.hingehoist.message.Message;
 
-/** Takes what a {@link PeerChannel} brings, on the event loop. */
+/** Handles the events of a {@link PeerChannel}. Called on the event loop. */
 public interface PeerHandler {
 
-  /** Notes that a connection is open. */
+  /** Called when a connection has opened. */
   void onOpen(PeerChannel channel);
 
-  /** Takes a message. */
+  /** Called for each received message. */
   void onMessage(PeerChannel channel, Message message);
 
-  /** Notes that a connection is closed. Called once for each that was open. */
+  /** Called once for each opened connection, when it has closed. */
   void onClosed(PeerChannel channel);
 
   /**
-   * Notes that nobody listens at the address of a {@link PeerLink}: the process that did has ended.
+   * Called when the address of a {@link PeerLink} refuses a connection: no process accepts
+   * connections there.
    */
   default void onRefused() {}
 }
--- a/daemon/src/main/java/io/hingehoist/net/PeerLink.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerLink.java
@@ -16,21 +16,25 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps a connection to one address open, and opens it anew when it breaks or nothing is heard on
- * it. Owned by the event loop.
+ * Keeps a connection to one address open, and replaces it when it breaks or falls silent. Not
+ * thread-safe: confined to the event loop.
  */
 public final class PeerLink implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 400;
-  private static final long RETRY_PAUSE_MS = 100;
+  private static final long RETRY_DELAY_MS = 100;
 
-  /** After a connection that soon fell silent, the next one is given twice the time, up to this. */
-  private static final int MAX_PATIENCE = 4;
+  /**
+   * The limit of the factor of the silence time-out, which doubles after each connection that fell
+   * silent early.
+   */
+  private static final int MAX_TIMEOUT_FACTOR = 4;
 
   /**
-   * The life after which a connection that falls silent says nothing of the peer. A process that
-   * stands still or is far too slow says little on each, and new ones cost it more.
+   * The time for which a connection must have carried messages to count as steady. The silence of a
+   * steady connection does not indicate a slow peer. A peer that is stalled or overloaded sends
+   * little on every connection, and new connections add to its load.
    */
-  private static final long STEADY_MS = 1_000;
+  private static final long STEADY_AFTER_MS = 1_000;
 
   private final EventLoop loop;
   private final String address;
@@ -38,10 +42,10 @@
   private final Supplier<Hello> hello;
   private final PeerHandler handler;
   private final Metrics metrics;
-  private final SilenceDetector watch = SilenceDetector.create(EventLoop.nowMs());
-  private long silentAfterMs;
-  private int patience = 1;
-  private long replacedHeardAtMs;
+  private final SilenceDetector silenceDetector = SilenceDetector.create(EventLoop.nowMs());
+  private long silenceTimeoutMs;
+  private int timeoutFactor = 1;
+  private long replacedLastReceivedAtMs;
   private Optional<PeerChannel> current = Optional.empty();
   private boolean connecting;
   private boolean closed;
@@ -50,14 +54,14 @@
       EventLoop loop,
       String address,
       String ownAddress,
-      long silentAfterMs,
+      long silenceTimeoutMs,
       Supplier<Hello> hello,
       PeerHandler handler,
       Metrics metrics) {
     this.loop = loop;
     this.address = address;
     this.ownAddress = ownAddress;
-    this.silentAfterMs = silentAfterMs;
+    this.silenceTimeoutMs = silenceTimeoutMs;
     this.hello = hello;
     this.handler = handler;
     this.metrics = metrics;
@@ -66,24 +70,25 @@
   /**
    * Opens a link.
    *
-   * @param ownAddress the address whose IP number the connections come from
-   * @param silentAfterMs the time without a frame after which a connection is replaced
-   * @param hello makes the first message of each connection
+   * @param ownAddress the address with the source IP address of connections
+   * @param silenceTimeoutMs the time without a received frame after which a connection is replaced
+   * @param hello supplies the first message on each connection
    */
   public static PeerLink open(
       EventLoop loop,
       String address,
       String ownAddress,
-      long silentAfterMs,
+      long silenceTimeoutMs,
       Supplier<Hello> hello,
       PeerHandler handler,
       Metrics metrics) {
-    PeerLink link = new PeerLink(loop, address, ownAddress, silentAfterMs, hello, handler, metrics);
+    PeerLink link =
+        new PeerLink(loop, address, ownAddress, silenceTimeoutMs, hello, handler, metrics);
     link.connect();
     return link;
   }
 
-  /** Returns the address that the link leads to. */
+  /** Returns the address that the link connects to. */
   public String address() {
     return address;
   }
@@ -93,40 +98,41 @@
     return current;
   }
 
-  /** Sends a message; returns whether it may arrive. */
+  /** Sends a message if a connection is open; returns false if the message is dropped. */
   public boolean send(Message message) {
     return current.isPresent() && current.get().send(message);
   }
 
-  /** Sets the time without a frame after which a connection is replaced from now on. */
-  public void replaceAfterSilenceOf(long newSilentAfterMs) {
-    silentAfterMs = newSilentAfterMs;
+  /** Sets the time without a received frame after which a connection is replaced. */
+  public void setSilenceTimeoutMs(long newSilenceTimeoutMs) {
+    silenceTimeoutMs = newSilenceTimeoutMs;
   }
 
-  /** Replaces a connection on which nothing is heard. Called at short intervals. */
+  /** Replaces the connection if it is silent. Called at short intervals. */
   public void onTick(long nowMs) {
-    watch.onTick(nowMs);
+    silenceDetector.onTick(nowMs);
     current
-        .filter(channel -> watch.isSilent(channel.heardAtMs(), silentAfterMs()))
+        .filter(channel -> silenceDetector.isSilent(channel.lastReceivedAtMs(), silenceTimeoutMs()))
         .ifPresent(channel -> replace());
   }
 
-  /** Returns the time without a word after which the open connection is to be replaced. */
-  public long silentAfterMs() {
+  /** Returns the time without a received frame after which the open connection is replaced. */
+  public long silenceTimeoutMs() {
     boolean steady = current.filter(PeerLink::isSteady).isPresent();
-    return steady ? silentAfterMs : patience * silentAfterMs;
+    return steady ? silenceTimeoutMs : timeoutFactor * silenceTimeoutMs;
   }
 
   private static boolean isSteady(PeerChannel channel) {
-    return channel.heardForMs() >= STEADY_MS;
+    return channel.activeForMs() >= STEADY_AFTER_MS;
   }
 
   /**
-   * Opens another connection in place of the one that is open. That one is closed only then: on a
-   * link that loses packets it may speak again before a new one is open, which is given up instead.
+   * Opens a connection to replace the open one, which is closed only once the new one is open. On a
+   * lossy network, the old connection may recover before that, and then the new one is closed
+   * instead.
    */
   public void replace() {
-    replacedHeardAtMs = current.map(PeerChannel::heardAtMs).orElse(0L);
+    replacedLastReceivedAtMs = current.map(PeerChannel::lastReceivedAtMs).orElse(0L);
     connect();
   }
 
@@ -143,7 +149,7 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                PeerChannel.install(channel, new Greeting(), metrics, loop);
+                PeerChannel.install(channel, new ConnectionHandler(), metrics, loop);
               }
             })
         .localAddress(new InetSocketAddress(Addresses.toSocketAddress(ownAddress).getAddress(), 0))
@@ -152,12 +158,12 @@
             done -> {
               connecting = false;
               if (!done.isSuccess()) {
-                failed(done.cause());
+                onConnectFailed(done.cause());
               }
             });
   }
 
-  private void failed(Throwable cause) {
+  private void onConnectFailed(Throwable cause) {
     if (cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)) {
       handler.onRefused();
     }
@@ -168,33 +174,35 @@
 
   private void retryLater() {
     if (!closed) {
-      loop.schedule(this::connectIfNone, RETRY_PAUSE_MS);
+      loop.schedule(this::connectIfClosed, RETRY_DELAY_MS);
     }
   }
 
-  private void connectIfNone() {
+  private void connectIfClosed() {
     if (current.isEmpty()) {
       connect();
     }
   }
 
-  private final class Greeting implements PeerHandler {
+  private final class ConnectionHandler implements PeerHandler {
     @Override
     public void onOpen(PeerChannel channel) {
-      boolean speaksAgain =
-          current.filter(former -> former.heardAtMs() > replacedHeardAtMs).isPresent();
-      if (closed || speaksAgain) {
+      boolean recovered =
+          current
+              .filter(former -> former.lastReceivedAtMs() > replacedLastReceivedAtMs)
+              .isPresent();
+      if (closed || recovered) {
         channel.close();
         return;
       }
-      current.ifPresent(this::end);
+      current.ifPresent(this::closeReplaced);
       current = Optional.of(channel);
       channel.send(hello.get());
       handler.onOpen(channel);
     }
 
-    private void end(PeerChannel former) {
-      patience = isSteady(former) ? 1 : Math.min(MAX_PATIENCE, 2 * patience);
+    private void closeReplaced(PeerChannel former) {
+      timeoutFactor = isSteady(former) ? 1 : Math.min(MAX_TIMEOUT_FACTOR, 2 * timeoutFactor);
       current = Optional.empty();
       handler.onClosed(former);
       former.close();
@@ -214,9 +222,9 @@
       }
       current = Optional.empty();
       handler.onClosed(channel);
-      // A process that was heard is likely there; one that ended refuses the connection.
-      if (channel.wasHeard()) {
-        loop.execute(PeerLink.this::connectIfNone);
+      // A peer that sent something is probably still alive; one that ended refuses the connection.
+      if (channel.hasReceived()) {
+        loop.execute(PeerLink.this::connectIfClosed);
       } else {
         retryLater();
       }
--- a/daemon/src/main/java/io/hingehoist/net/PeerServer.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerServer.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.util.function.Supplier;
 
-/** Takes connections of other hingehoist processes on one address. */
+/** Accepts connections of other hingehoist processes on one address. Thread-safe. */
 public final class PeerServer implements AutoCloseable {
   private static final int BACKLOG = 1_024;
 
@@ -23,7 +23,7 @@
   /**
    * Opens a server.
    *
-   * @param handlers makes the handler of each new connection
+   * @param handlers supplies a handler for each new connection
    * @throws IOException if the address can't be opened
    */
   public static PeerServer open(
--- a/daemon/src/main/java/io/hingehoist/net/PlannedStop.java
+++ b/daemon/src/main/java/io/hingehoist/net/PlannedStop.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A planned stop of a process: begun once, over when its node says so or when its time is up.
- * {@link #await} is called from another thread than the rest.
+ * A planned stop of a process. It begins once and ends when the node completes it or at a time-out.
+ * Not thread-safe: confined to the event loop, except for {@link #await}.
  */
 public final class PlannedStop {
-  /** What is left of the time when the process ends in any case. */
+  /** The part of the time-out that is reserved for the end of the process. */
   private static final long MARGIN_MS = 300;
 
   private final long timeoutMs;
-  private final CountDownLatch settled = new CountDownLatch(1);
+  private final CountDownLatch completed = new CountDownLatch(1);
   private long beganAtMs;
   private boolean begun;
 
@@ -20,7 +20,7 @@
     this.timeoutMs = timeoutMs;
   }
 
-  /** Returns a stop that has not begun. */
+  /** Creates a stop that has not begun. */
   public static PlannedStop of(double timeoutSeconds) {
     return new PlannedStop((long) (timeoutSeconds * 1_000));
   }
@@ -41,20 +41,20 @@
     return nowMs - beganAtMs;
   }
 
-  /** Returns the time that is left; it may be below zero. */
+  /** Returns the remaining time, which may be negative. */
   public long leftMs(long nowMs) {
     return beganAtMs + timeoutMs - MARGIN_MS - nowMs;
   }
 
-  /** Notes that nothing is left to wait for. */
-  public void settle() {
-    settled.countDown();
+  /** Completes the stop: there is nothing left to wait for. */
+  public void complete() {
+    completed.countDown();
   }
 
-  /** Waits for the end of the stop; returns whether it was settled in time. */
+  /** Waits for the end of the stop; returns whether it was completed in time. */
   public boolean await() {
     try {
-      return settled.await(Math.max(0, timeoutMs - MARGIN_MS), TimeUnit.MILLISECONDS);
+      return completed.await(Math.max(0, timeoutMs - MARGIN_MS), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
--- a/daemon/src/main/java/io/hingehoist/net/PooledHttpClient.java
+++ b/daemon/src/main/java/io/hingehoist/net/PooledHttpClient.java
@@ -25,23 +25,28 @@
 import java.util.function.Consumer;
 
 /**
- * Calls one address by HTTP/1.1 on kept connections, one call at a time on each. Owned by the event
- * loop.
+ * An HTTP/1.1 client for one address. It keeps connections alive and sends one request at a time on
+ * each. Not thread-safe: confined to the event loop.
  */
 public final class PooledHttpClient implements AutoCloseable {
-  private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
   /**
-   * A call.
+   * A request to send.
    *
-   * @param instance the life of the called process that is meant; empty for any
-   * @param timeoutMs the time for the answer; its connection is closed then
-   * @param fresh whether a new connection is opened for it though one is kept
+   * @param instance the instance of the called process that the request is for; empty for any
+   * @param timeoutMs the time-out of the response, after which the connection is closed
+   * @param newConnection whether to open a new connection even if an idle one is available
    */
   public record Call(
-      String method, String path, String instance, byte[] body, long timeoutMs, boolean fresh) {}
+      String method,
+      String path,
+      String instance,
+      byte[] body,
+      long timeoutMs,
+      boolean newConnection) {}
 
-  private record Waiting(Call call, Consumer<HttpResult> replies) {}
+  private record PendingCall(Call call, Consumer<HttpResult> results) {}
 
   private final EventLoop loop;
   private final String address;
@@ -49,7 +54,7 @@
   private final String instanceHeader;
   private final int maxConnections;
   private final Deque<Connection> idle = new ArrayDeque<>();
-  private final Deque<Waiting> waiting = new ArrayDeque<>();
+  private final Deque<PendingCall> waiting = new ArrayDeque<>();
   private int connections;
   private boolean closed;
 
@@ -67,10 +72,10 @@
   }
 
   /**
-   * Creates a caller without connections.
+   * Creates a client without connections.
    *
-   * @param ownAddress the address whose IP number the connections come from
-   * @param instanceHeader the header that names the life that a call is meant for
+   * @param ownAddress the address with the source IP address of connections
+   * @param instanceHeader the header that names the instance that a request is for
    */
   public static PooledHttpClient create(
       EventLoop loop,
@@ -81,23 +86,23 @@
     return new PooledHttpClient(loop, address, ownAddress, instanceHeader, maxConnections);
   }
 
-  /** Makes a call; the reply comes once, on the event loop. */
-  public void call(Call call, Consumer<HttpResult> replies) {
-    waiting.add(new Waiting(call, replies));
-    serveWaiting();
+  /** Sends a request when a connection is available; the result is passed on the event loop. */
+  public void call(Call call, Consumer<HttpResult> results) {
+    waiting.add(new PendingCall(call, results));
+    sendWaiting();
   }
 
-  private void serveWaiting() {
+  private void sendWaiting() {
     while (!waiting.isEmpty()) {
-      boolean fresh = waiting.peek().call().fresh() && connections < maxConnections;
-      Connection connection = fresh ? null : idle.poll();
+      boolean opensNew = waiting.peek().call().newConnection() && connections < maxConnections;
+      Connection connection = opensNew ? null : idle.poll();
       if (connection != null && !connection.channel.isActive()) {
         continue;
       }
       if (connection == null && connections >= maxConnections) {
         return;
       }
-      Waiting next = waiting.remove();
+      PendingCall next = waiting.remove();
       if (connection != null) {
         connection.send(next);
       } else {
@@ -106,7 +111,7 @@
     }
   }
 
-  private void connect(Waiting first) {
+  private void connect(PendingCall first) {
     connections++;
     Connection connection = new Connection();
     new Bootstrap()
@@ -122,7 +127,7 @@
                 channel
                     .pipeline()
                     .addLast(new HttpClientCodec())
-                    .addLast(new HttpObjectAggregator(MAX_ANSWER_BYTES))
+                    .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
                     .addLast(connection);
               }
             })
@@ -137,10 +142,10 @@
                 boolean refused =
                     done.cause() instanceof ConnectException && !isTimeout(done.cause());
                 first
-                    .replies()
+                    .results()
                     .accept(
                         refused ? new HttpResult.ConnectionRefused() : new HttpResult.Unanswered());
-                serveWaiting();
+                sendWaiting();
               }
             });
   }
@@ -151,26 +156,27 @@
 
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private Channel channel;
-    private Optional<Waiting> open = Optional.empty();
+    private Optional<PendingCall> inFlight = Optional.empty();
 
     /**
-     * Calls the time-out of the open call off. A timer for each answered call would wake a host
-     * some 70 times a second, one time in five, at 30 task starts a second.
+     * Cancels the time-out of the request in flight. If the timers of answered requests kept
+     * running, they would wake a host about 70 times a second at 30 task starts a second, a fifth
+     * of all its wake-ups.
      */
-    private Runnable callOffTimeout = () -> {};
+    private Runnable cancelTimeout = () -> {};
 
-    private void send(Waiting next) {
-      open = Optional.of(next);
+    private void send(PendingCall next) {
+      inFlight = Optional.of(next);
       channel.writeAndFlush(toRequest(next.call()), channel.voidPromise());
-      callOffTimeout = loop.schedule(channel::close, next.call().timeoutMs());
+      cancelTimeout = loop.schedule(channel::close, next.call().timeoutMs());
     }
 
-    /** Returns the call that was open, if one was; there is none any more. */
-    private Optional<Waiting> takeOpen() {
-      Optional<Waiting> taken = open;
-      open = Optional.empty();
-      callOffTimeout.run();
-      return taken;
+    /** Removes and returns the request in flight, if there is one. */
+    private Optional<PendingCall> removeInFlight() {
+      Optional<PendingCall> removed = inFlight;
+      inFlight = Optional.empty();
+      cancelTimeout.run();
+      return removed;
     }
 
     private DefaultFullHttpRequest toRequest(Call call) {
@@ -191,29 +197,29 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      Optional<Waiting> answered = takeOpen();
+      Optional<PendingCall> answered = removeInFlight();
       if (answered.isEmpty()) {
         context.close();
         return;
       }
       byte[] body = new byte[response.content().readableBytes()];
       response.content().readBytes(body);
-      boolean kept = HttpUtil.isKeepAlive(response) && !closed;
-      if (kept) {
+      boolean keepAlive = HttpUtil.isKeepAlive(response) && !closed;
+      if (keepAlive) {
         idle.push(this);
       }
-      reply(answered.get(), new HttpResult.Answered(response.status().code(), body));
-      if (!kept) {
+      complete(answered.get(), new HttpResult.Answered(response.status().code(), body));
+      if (!keepAlive) {
         context.close();
       }
-      serveWaiting();
+      sendWaiting();
     }
 
-    private void reply(Waiting answered, HttpResult reply) {
+    private void complete(PendingCall call, HttpResult result) {
       try {
-        answered.replies().accept(reply);
+        call.results().accept(result);
       } catch (RuntimeException | Error e) {
-        loop.fail(e);
+        loop.reportFatal(e);
       }
     }
 
@@ -221,8 +227,8 @@
     public void channelInactive(ChannelHandlerContext context) {
       connections--;
       idle.remove(this);
-      takeOpen().ifPresent(lost -> reply(lost, new HttpResult.Unanswered()));
-      serveWaiting();
+      removeInFlight().ifPresent(lost -> complete(lost, new HttpResult.Unanswered()));
+      sendWaiting();
     }
 
     @Override
@@ -231,7 +237,7 @@
     }
   }
 
-  /** Closes every connection; calls that wait are answered as unanswered. */
+  /** Closes all idle connections, and every other one after its response. */
   @Override
   public void close() {
     closed = true;
--- a/daemon/src/main/java/io/hingehoist/net/Resets.java
+++ b/daemon/src/main/java/io/hingehoist/net/Resets.java
@@ -4,16 +4,18 @@
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelOption;
 
-/** Static helpers that end connections by a reset. */
+/** Static helpers that reset connections. */
 final class Resets {
   private Resets() {}
 
-  /** Resets a connection, so that nothing that a cut holds up is delivered afterwards. */
+  /**
+   * Resets a connection, so that nothing delayed by a network partition is delivered afterwards.
+   */
   static void reset(Channel channel) {
     try {
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
     } catch (ChannelException e) {
-      // The connection is closed already, and the loop has not heard of it yet.
+      // The connection is already closed, but the event loop has not processed that yet.
     }
     channel.close();
   }
--- a/daemon/src/main/java/io/hingehoist/net/SilenceDetector.java
+++ b/daemon/src/main/java/io/hingehoist/net/SilenceDetector.java
@@ -1,34 +1,34 @@
 package io.hingehoist.net;
 
 /**
- * Tells a connection that has fallen silent from a process that stood still itself: what came in
- * the meantime is read only after the tick that comes late, so that nothing is concluded from it.
- * Owned by the event loop.
+ * Distinguishes a silent connection from a pause of this process. Messages received during a pause
+ * are read only after the late tick that follows it, so a late tick never reports silence. Not
+ * thread-safe: confined to the event loop.
  */
 public final class SilenceDetector {
-  /** Ticks come every 50 ms; one that is so late says that this process did not run. */
-  private static final long LATE_TICK_MS = 150;
+  /** Ticks occur every 50 ms; such a long time between two of them indicates a pause. */
+  private static final long MIN_PAUSE_MS = 150;
 
-  private long tickedAtMs;
-  private boolean late;
+  private long lastTickAtMs;
+  private boolean tickIsLate;
 
   private SilenceDetector(long nowMs) {
-    this.tickedAtMs = nowMs;
+    this.lastTickAtMs = nowMs;
   }
 
-  /** Creates a watch that begins now. */
+  /** Creates a detector that starts at a time. */
   public static SilenceDetector create(long nowMs) {
     return new SilenceDetector(nowMs);
   }
 
-  /** Notes the time. Called at short intervals. */
+  /** Records a tick. Called at short intervals. */
   public void onTick(long nowMs) {
-    late = nowMs - tickedAtMs >= LATE_TICK_MS;
-    tickedAtMs = nowMs;
+    tickIsLate = nowMs - lastTickAtMs >= MIN_PAUSE_MS;
+    lastTickAtMs = nowMs;
   }
 
-  /** Returns whether nothing was heard for a time, and what came meanwhile has been read. */
-  public boolean isSilent(long heardAtMs, long limitMs) {
-    return !late && tickedAtMs - heardAtMs >= limitMs;
+  /** Returns whether nothing was received for a time, and all received data has been read. */
+  public boolean isSilent(long lastReceivedAtMs, long timeoutMs) {
+    return !tickIsLate && lastTickAtMs - lastReceivedAtMs >= timeoutMs;
   }
 }
--- a/daemon/src/main/java/io/hingehoist/net/ZoneGauges.java
+++ b/daemon/src/main/java/io/hingehoist/net/ZoneGauges.java
@@ -3,11 +3,11 @@
 import io.hingehoist.metrics.Metrics;
 import io.hingehoist.run.ZoneKnowledge;
 
-/** Static helpers that show what a process knows of evacuated availability zones. */
+/** Static helpers for the gauges of evacuated availability zones. */
 public final class ZoneGauges {
   private ZoneGauges() {}
 
-  /** Adds the gauges of a process; they are read on the event loop. */
+  /** Adds the gauges of a process. */
   public static void add(Metrics metrics, ZoneKnowledge zones) {
     metrics.addGauge(
         "hingehoist_evacuated_zones",
@@ -15,11 +15,11 @@
         zones::evacuatedCount);
     metrics.addGauge(
         "hingehoist_evacuated_zones_version",
-        "The version of the evacuations that this process knows; -1 before it has heard of one.",
+        "The version of the evacuated zones that this process knows; -1 before it knows any.",
         () -> zones.newest().map(newest -> (double) newest.version()).orElse(-1.0));
     metrics.addGauge(
         "hingehoist_evacuated_zones_age_seconds",
-        "Time since this process learned of that version.",
+        "Time since this process received that version.",
         () -> zones.ageMs(EventLoop.nowMs()) / 1_000.0);
   }
 }
--- a/daemon/src/main/java/io/hingehoist/net/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/net/package-info.java
@@ -1,9 +1,9 @@
 /**
  * Connections on one event loop, for processes on small boxes: frames between hingehoist processes,
- * HTTP to and from the outside.
+ * and HTTP to and from other programs.
  *
- * <p>Everything runs on the loop's one thread, which also owns the state of the node that uses it:
- * on a fraction of a core each handover to another thread is a wake-up that costs more than the
- * work. Begin with {@link io.hingehoist.net.EventLoop}.
+ * <p>Everything runs on the single thread of the loop, to which the state of the node is confined
+ * as well: on a fraction of a core, handing work to another thread costs a wake-up, which takes
+ * longer than the work itself. Start with {@link io.hingehoist.net.EventLoop}.
  */
 package io.hingehoist.net;
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -36,51 +36,54 @@
 import java.util.function.Consumer;
 
 /**
- * The sessions of an owner with the hosts. Hosts open them; an owner that misses one makes itself
- * known at the host's address, as the host may not have heard of it.
+ * The sessions of an owner with the hosts. Hosts open them; if a host has no session with this
+ * owner, the owner announces itself at the host's address, as the host may not know of it.
  *
- * <p>A session outlasts its connection: in place of one that breaks or falls silent the host opens
- * another on which the session goes on. Unheard for the length of the lease, it is over. Owned by
- * the event loop.
+ * <p>A session outlives its connection: when a connection breaks or falls silent, the host opens
+ * another one and resumes the session on it. A session on which nothing is received for the
+ * duration of the lease ends. Not thread-safe: confined to the event loop.
  */
 final class HostSessions implements AutoCloseable {
-  private static final long KNOCK_PAUSE_MS = 600;
-  private static final long KNOCK_OPEN_MS = 300;
+  private static final long ANNOUNCE_INTERVAL_MS = 600;
+  private static final long ANNOUNCE_CONNECTION_MS = 300;
 
-  /** Takes what happens on sessions, on the event loop. */
+  /** Handles the events of sessions. Called on the event loop. */
   interface Listener {
+    /** Called when a host opens a session, or sends the message that opens it again. */
     void onOpened(String hostId, SessionOpened opened);
 
+    /** Called for each message that this class does not handle itself. */
     void onMessage(String hostId, Message message);
 
     /**
-     * Notes that a session has no connection for now, or one on which nothing is heard.
+     * Called when a session has no connection, or nothing is received on its connection.
      *
-     * @param heardAgoMs the time since something was last heard on the last one
+     * @param heardAgoMs the time since the last message on the session's connection
      */
     void onSuspended(String hostId, long heardAgoMs);
 
-    /** Notes that a session goes on, on a new connection or the one that speaks again. */
+    /** Called when a session resumes, on a new connection or on the one that was silent. */
     void onResumed(String hostId, long suspendedForMs, int repeatedMessages);
 
     /**
-     * Notes that a session is over.
+     * Called when a session has ended.
      *
-     * @param silent whether the host may still hold the lease of this owner
-     * @param leaseSinceMs when that lease may last have been renewed
+     * @param mayHoldLease whether the host may still hold the lease of this owner
+     * @param leaseRenewedAtMs the latest time at which that lease may have been renewed
      */
-    void onLost(String hostId, boolean silent, long leaseSinceMs);
+    void onLost(String hostId, boolean mayHoldLease, long leaseRenewedAtMs);
 
+    /** Called when a host announces itself on its session. */
     void onAnnounce(Peer peer);
 
     /**
-     * Notes that a host asks for a proof that its session goes on.
+     * Called when a host asks for a proof that its session is still alive.
      *
-     * @param answers takes the proof
+     * @param replies accepts the proof
      */
-    void onProbe(long number, Consumer<Message> answers);
+    void onProbe(long number, Consumer<Message> replies);
 
-    /** Returns whether a host is to show each change at once. */
+    /** Returns whether a host is to report every change at once. */
     boolean follows(String hostId);
   }
 
@@ -89,17 +92,17 @@
     private final long hostIncarnation;
     private final SessionStream stream = SessionStream.create();
     private final OpenRuns openRuns = OpenRuns.create();
-    private final long beganAtMs = EventLoop.nowMs();
+    private final long startedAtMs = EventLoop.nowMs();
     private Optional<PeerChannel> channel;
-    private ReceivedRows rows = ReceivedRows.create();
+    private ReceivedRows receivedRows = ReceivedRows.create();
     private long suspendedAtMs;
-    private long beatAtMs;
+    private long heartbeatSentAtMs;
 
-    /** When the oldest of the runs that may be going on was ordered. */
-    private long runsSinceMs;
+    /** The time at which the oldest run that may still be in progress was ordered. */
+    private long oldestRunOrderedAtMs;
 
-    /** Whether the connection is open but nothing is heard on it. */
-    private boolean unheard;
+    /** Whether the connection is open but nothing is received on it. */
+    private boolean silent;
 
     private Session(long id, long hostIncarnation, PeerChannel channel) {
       this.id = id;
@@ -107,7 +110,7 @@
       this.channel = Optional.of(channel);
     }
 
-    private boolean isOn(PeerChannel other) {
+    private boolean usesChannel(PeerChannel other) {
       return channel.filter(other::equals).isPresent();
     }
 
@@ -115,145 +118,160 @@
       return openRuns.isEmpty();
     }
 
-    private long silentAfterMs(long nowMs) {
-      return SessionSilence.ofHostMs(isIdle(), nowMs - beganAtMs);
+    private long silenceTimeoutMs(long nowMs) {
+      return SessionSilence.ofHostMs(isIdle(), nowMs - startedAtMs);
     }
 
-    /** A host that had little to say is not silent yet when the first run is ordered there. */
+    /**
+     * Returns the start of the silence on a connection. An idle host sends little, so the silence
+     * of a session with runs starts no earlier than the first of these runs was ordered.
+     */
     private long silentSinceMs(PeerChannel open) {
-      return isIdle() ? open.heardAtMs() : Math.max(open.heardAtMs(), runsSinceMs);
+      return isIdle()
+          ? open.lastReceivedAtMs()
+          : Math.max(open.lastReceivedAtMs(), oldestRunOrderedAtMs);
     }
   }
 
   private final EventLoop loop;
   private final Peer self;
-  private final long silenceMs;
+  private final long leaseMs;
   private final Metrics metrics;
   private final Listener listener;
   private final PeerServer server;
   private final Map<String, Session> sessions = new HashMap<>();
-  private final Map<String, Long> knockedAtMs = new HashMap<>();
-  private final SilenceDetector watch = SilenceDetector.create(EventLoop.nowMs());
+  private final Map<String, Long> announcedAtMs = new HashMap<>();
+  private final SilenceDetector silenceDetector = SilenceDetector.create(EventLoop.nowMs());
 
   HostSessions(
       EventLoop loop,
       Peer self,
       String bindAddress,
-      long silenceMs,
+      long leaseMs,
       Metrics metrics,
       Listener listener)
       throws IOException {
     this.loop = loop;
     this.self = self;
-    this.silenceMs = silenceMs;
+    this.leaseMs = leaseMs;
     this.metrics = metrics;
     this.listener = listener;
     this.server = PeerServer.open(loop, bindAddress, HostHandler::new, metrics);
   }
 
-  /** Sends a message on a session's connection, or on its next one if it must arrive. */
+  /**
+   * Sends a message on a session's connection. A message with guaranteed delivery is kept, and sent
+   * again on the session's next connection until it is acknowledged.
+   */
   void send(String hostId, Message message) {
     Session session = sessions.get(hostId);
     if (session == null) {
       return;
     }
     if (message instanceof StartRuns && session.isIdle()) {
-      takeUpLease(hostId, session);
+      renewLease(hostId, session);
     }
     session.stream.noteSent(message);
     session.openRuns.note(message);
     session.channel.ifPresent(channel -> channel.send(message));
   }
 
-  /** Where nothing ran the lease was left to end, so the first order comes with a new one. */
-  private void takeUpLease(String hostId, Session session) {
-    session.runsSinceMs = EventLoop.nowMs();
-    session.channel.ifPresent(channel -> beat(hostId, session, channel));
+  /** Renews a host's lease before its first order: the lease of an idle host is left to expire. */
+  private void renewLease(String hostId, Session session) {
+    session.oldestRunOrderedAtMs = EventLoop.nowMs();
+    session.channel.ifPresent(channel -> sendHeartbeat(hostId, session, channel));
   }
 
-  /** Sends a message that each host may also hear elsewhere, to those that are connected. */
+  /**
+   * Sends a message to all connected hosts. It is not repeated to the others, which may receive its
+   * content from other processes.
+   */
   void sendToAll(Message message) {
     sessions
         .values()
         .forEach(session -> session.channel.ifPresent(channel -> channel.send(message)));
   }
 
-  /** Beats, and gives up hosts that are silent. Called at short intervals. */
+  /** Sends due heartbeats and ends the sessions of silent hosts. Called at short intervals. */
   void onTick(long nowMs) {
-    watch.onTick(nowMs);
+    silenceDetector.onTick(nowMs);
     for (Map.Entry<String, Session> entry : List.copyOf(sessions.entrySet())) {
-      check(entry.getKey(), entry.getValue(), nowMs);
+      checkSilence(entry.getKey(), entry.getValue(), nowMs);
     }
-    sessions.forEach((hostId, session) -> beatIfDue(hostId, session, nowMs));
+    sessions.forEach((hostId, session) -> sendHeartbeatIfDue(hostId, session, nowMs));
   }
 
-  private void beatIfDue(String hostId, Session session, long nowMs) {
+  private void sendHeartbeatIfDue(String hostId, Session session, long nowMs) {
     long periodMs = session.isIdle() ? RunTiming.IDLE_BEAT_MS : RunTiming.BEAT_MS;
-    if (nowMs - session.beatAtMs >= periodMs) {
-      session.channel.ifPresent(channel -> beat(hostId, session, channel));
+    if (nowMs - session.heartbeatSentAtMs >= periodMs) {
+      session.channel.ifPresent(channel -> sendHeartbeat(hostId, session, channel));
     }
   }
 
-  private void beat(String hostId, Session session, PeerChannel channel) {
-    session.beatAtMs = EventLoop.nowMs();
-    channel.send(new OwnerBeat(session.beatAtMs, listener.follows(hostId)));
+  private void sendHeartbeat(String hostId, Session session, PeerChannel channel) {
+    session.heartbeatSentAtMs = EventLoop.nowMs();
+    channel.send(new OwnerBeat(session.heartbeatSentAtMs, listener.follows(hostId)));
   }
 
-  private void check(String hostId, Session session, long nowMs) {
+  private void checkSilence(String hostId, Session session, long nowMs) {
     if (session.channel.isEmpty()) {
-      if (nowMs - session.suspendedAtMs >= silenceMs) {
-        lose(hostId, true, session.suspendedAtMs);
+      if (nowMs - session.suspendedAtMs >= leaseMs) {
+        endSession(hostId, true, session.suspendedAtMs);
       }
       return;
     }
     long sinceMs = session.silentSinceMs(session.channel.get());
-    if (watch.isSilent(sinceMs, session.isIdle() ? RunTiming.IDLE_SESSION_MS : silenceMs)) {
-      lose(hostId, true, nowMs);
-    } else if (!session.unheard && watch.isSilent(sinceMs, session.silentAfterMs(nowMs))) {
-      session.unheard = true;
+    if (silenceDetector.isSilent(sinceMs, session.isIdle() ? RunTiming.IDLE_SESSION_MS : leaseMs)) {
+      endSession(hostId, true, nowMs);
+    } else if (!session.silent
+        && silenceDetector.isSilent(sinceMs, session.silenceTimeoutMs(nowMs))) {
+      session.silent = true;
       session.suspendedAtMs = nowMs;
-      listener.onSuspended(hostId, nowMs - session.channel.get().heardAtMs());
+      listener.onSuspended(hostId, nowMs - session.channel.get().lastReceivedAtMs());
     }
   }
 
-  /** No heartbeat is sent from now on, so the host's lease is over in time. */
+  /**
+   * Closes a session's connection. No heartbeat is sent until the session resumes, so the host's
+   * lease expires in time.
+   */
   private void suspend(String hostId, Session session) {
     long nowMs = EventLoop.nowMs();
     PeerChannel former = session.channel.orElseThrow();
     session.channel = Optional.empty();
-    session.unheard = false;
+    session.silent = false;
     session.suspendedAtMs = nowMs;
     former.close();
-    listener.onSuspended(hostId, nowMs - former.heardAtMs());
+    listener.onSuspended(hostId, nowMs - former.lastReceivedAtMs());
   }
 
-  /** Makes this owner known to hosts that have no session with it, or are not heard on theirs. */
-  void knock(List<Peer> hosts, long nowMs) {
+  /** Announces this owner to hosts that have no session with it or are silent on theirs. */
+  void announceToMissing(List<Peer> hosts, long nowMs) {
     for (Peer host : hosts) {
-      boolean due = nowMs - knockedAtMs.getOrDefault(host.address(), 0L) >= KNOCK_PAUSE_MS;
-      if (due && !isHeard(host.nodeId())) {
-        knockedAtMs.put(host.address(), nowMs);
-        knock(host);
+      boolean due = nowMs - announcedAtMs.getOrDefault(host.address(), 0L) >= ANNOUNCE_INTERVAL_MS;
+      if (due && !isReceiving(host.nodeId())) {
+        announcedAtMs.put(host.address(), nowMs);
+        announceTo(host);
       }
     }
   }
 
-  private boolean isHeard(String hostId) {
+  private boolean isReceiving(String hostId) {
     Session session = sessions.get(hostId);
-    return session != null && session.channel.isPresent() && !session.unheard;
+    return session != null && session.channel.isPresent() && !session.silent;
   }
 
-  private void knock(Peer host) {
+  private void announceTo(Peer host) {
     PeerLink link =
         PeerLink.open(
             loop,
             host.address(),
             self.address(),
-            KNOCK_OPEN_MS,
+            ANNOUNCE_CONNECTION_MS,
             this::hello,
-            new KnockHandler(host.nodeId()),
+            new AnnouncementHandler(host.nodeId()),
             metrics);
-    loop.schedule(link::close, KNOCK_OPEN_MS);
+    loop.schedule(link::close, ANNOUNCE_CONNECTION_MS);
   }
 
   private Hello hello() {
@@ -261,8 +279,8 @@
         self.role(), self.nodeId(), self.incarnation(), "", FrameConnection.PROTOCOL_VERSION);
   }
 
-  /** Sends a message to the hosts where runs may be going on; returns how many were sent it. */
-  int sendWhereRunsAre(Message message) {
+  /** Sends a message to the connected hosts that may have runs; returns the number of hosts. */
+  int sendToHostsWithRuns(Message message) {
     int sent = 0;
     for (Session session : sessions.values()) {
       if (!session.isIdle() && session.channel.isPresent()) {
@@ -273,21 +291,21 @@
     return sent;
   }
 
-  /** Gives every session up. */
-  void loseAll() {
+  /** Ends every session. */
+  void endAll() {
     long nowMs = EventLoop.nowMs();
-    new ArrayList<>(sessions.keySet()).forEach(hostId -> lose(hostId, true, nowMs));
+    new ArrayList<>(sessions.keySet()).forEach(hostId -> endSession(hostId, true, nowMs));
   }
 
-  private void lose(String hostId, boolean silent, long leaseSinceMs) {
+  private void endSession(String hostId, boolean mayHoldLease, long leaseRenewedAtMs) {
     Session session = sessions.remove(hostId);
     if (session != null) {
       session.channel.ifPresent(PeerChannel::close);
-      listener.onLost(hostId, silent, leaseSinceMs);
+      listener.onLost(hostId, mayHoldLease, leaseRenewedAtMs);
     }
   }
 
-  /** Takes what comes on a connection that a host opened. */
+  /** Handles a connection that a host opened. */
   private final class HostHandler implements PeerHandler {
     private Optional<Hello> host = Optional.empty();
 
@@ -297,7 +315,7 @@
     @Override
     public void onMessage(PeerChannel channel, Message message) {
       if (host.isPresent()) {
-        receive(host.get(), channel, message);
+        handleMessage(host.get(), channel, message);
       } else if (message instanceof Hello hello && hello.role() == Role.AGENT) {
         host = Optional.of(hello);
       } else {
@@ -306,56 +324,59 @@
       }
     }
 
-    private void receive(Hello host, PeerChannel channel, Message message) {
+    private void handleMessage(Hello host, PeerChannel channel, Message message) {
       Session session = sessions.get(host.nodeId());
-      if (session != null && session.isOn(channel)) {
+      if (session != null && session.usesChannel(channel)) {
         session.stream.noteReceived(message).ifPresent(channel::send);
         session.openRuns.note(message);
-        noteHeard(host.nodeId(), session);
-        receive(host.nodeId(), session, message);
+        resumeIfSilent(host.nodeId(), session);
+        handleMessage(host.nodeId(), session, message);
         return;
       }
       switch (message) {
-        case SessionOpened opened -> begin(host, channel, opened);
-        case SessionResumed resumed -> resume(host, channel, resumed);
-        // The rest of a connection that was replaced.
+        case SessionOpened opened -> openSession(host, channel, opened);
+        case SessionResumed resumed -> resumeSession(host, channel, resumed);
+        // Left over from a connection that was replaced.
         default -> {}
       }
     }
 
-    /** On a link that loses packets, a connection that seemed silent may speak again. */
-    private void noteHeard(String hostId, Session session) {
-      if (session.unheard) {
-        session.unheard = false;
+    /** Resumes a silent session: on a lossy network, a silent connection may recover. */
+    private void resumeIfSilent(String hostId, Session session) {
+      if (session.silent) {
+        session.silent = false;
         listener.onResumed(hostId, EventLoop.nowMs() - session.suspendedAtMs, 0);
       }
     }
 
-    /** The number of a session rises within an incarnation, so a lower one came late. */
-    private boolean isReplaced(Hello host, SessionOpened opened) {
+    /**
+     * Returns whether a newer session of the same host is known. Session ids increase within an
+     * incarnation, so a message with a lower id was delayed.
+     */
+    private boolean isOutdated(Hello host, SessionOpened opened) {
       Session known = sessions.get(host.nodeId());
       return known != null
           && known.hostIncarnation == host.incarnation()
           && opened.sessionId() < known.id;
     }
 
-    private void begin(Hello host, PeerChannel channel, SessionOpened opened) {
-      if (isReplaced(host, opened)) {
+    private void openSession(Hello host, PeerChannel channel, SessionOpened opened) {
+      if (isOutdated(host, opened)) {
         channel.close();
         return;
       }
       long nowMs = EventLoop.nowMs();
-      lose(host.nodeId(), false, nowMs);
+      endSession(host.nodeId(), false, nowMs);
       Session session = new Session(opened.sessionId(), host.incarnation(), channel);
       sessions.put(host.nodeId(), session);
       session.stream.noteReceived(opened);
-      // Whether this host will be followed is known only once it has said more of itself.
-      session.beatAtMs = nowMs;
+      // Whether to follow this host is known only after it has sent more about itself.
+      session.heartbeatSentAtMs = nowMs;
       channel.send(new OwnerBeat(nowMs, true));
       listener.onOpened(host.nodeId(), opened);
     }
 
-    private void resume(Hello host, PeerChannel channel, SessionResumed resumed) {
+    private void resumeSession(Hello host, PeerChannel channel, SessionResumed resumed) {
       Session session = sessions.get(host.nodeId());
       boolean known =
           session != null
@@ -370,72 +391,76 @@
         suspend(host.nodeId(), session);
       }
       session.channel = Optional.of(channel);
-      session.rows = ReceivedRows.create();
+      session.receivedRows = ReceivedRows.create();
       channel.send(new SessionResumed(session.id, session.stream.receivedCount()));
-      beat(host.nodeId(), session, channel);
+      sendHeartbeat(host.nodeId(), session, channel);
       session.stream.kept().forEach(channel::send);
       long suspendedForMs = EventLoop.nowMs() - session.suspendedAtMs;
       listener.onResumed(host.nodeId(), suspendedForMs, session.stream.keptCount());
     }
 
-    private void receive(String host, Session session, Message message) {
+    private void handleMessage(String hostId, Session session, Message message) {
       switch (message) {
-        case SessionOpened opened -> listener.onOpened(host, opened);
-        case SessionAck ack -> take(session, ack);
+        case SessionOpened opened -> listener.onOpened(hostId, opened);
+        case SessionAck ack -> handleAck(session, ack);
         case Announce announce -> listener.onAnnounce(announce.self());
         case SessionProbe probe ->
             session.channel.ifPresent(open -> listener.onProbe(probe.number(), open::send));
         case HostRows rows -> {
-          session.rows.take(rows);
-          listener.onMessage(host, rows);
+          session.receivedRows.take(rows);
+          listener.onMessage(hostId, rows);
         }
-        case HostRooms rooms -> receive(host, session, rooms);
-        default -> listener.onMessage(host, message);
+        case HostRooms rooms -> handleRooms(hostId, session, rooms);
+        default -> listener.onMessage(hostId, message);
       }
     }
 
-    private void take(Session session, SessionAck ack) {
+    private void handleAck(Session session, SessionAck ack) {
       if (!session.stream.acknowledged(ack.receivedCount())) {
         metrics.countBadFrame();
         session.channel.ifPresent(PeerChannel::close);
       }
     }
 
-    private void receive(String host, Session session, HostRooms rooms) {
-      Optional<HostRows> rows = session.rows.expand(rooms);
+    private void handleRooms(String hostId, Session session, HostRooms rooms) {
+      Optional<HostRows> rows = session.receivedRows.expand(rooms);
       if (rows.isPresent()) {
-        listener.onMessage(host, rows.get());
+        listener.onMessage(hostId, rows.get());
       } else {
         metrics.countBadFrame();
         session.channel.ifPresent(PeerChannel::close);
       }
     }
 
-    /** A host that has ended refuses the knock, so that its session need not wait for it. */
+    /**
+     * Suspends the session. If the host has ended, it refuses the next announcement connection,
+     * which ends the session early.
+     */
     @Override
     public void onClosed(PeerChannel channel) {
       host.map(hello -> sessions.get(hello.nodeId()))
-          .filter(session -> session.isOn(channel))
+          .filter(session -> session.usesChannel(channel))
           .ifPresent(session -> suspend(host.get().nodeId(), session));
     }
   }
 
-  private final class KnockHandler implements PeerHandler {
+  private final class AnnouncementHandler implements PeerHandler {
     private final String hostId;
 
-    private KnockHandler(String hostId) {
+    private AnnouncementHandler(String hostId) {
       this.hostId = hostId;
     }
 
     /**
-     * Nobody listens there now, so the session need not be waited for. Whether its process is gone
-     * is not known, and one that goes on keeps the runs until its lease of this owner is over.
+     * Ends a suspended session at once, as no process accepts connections at the host's address.
+     * The host's process may still be alive all the same, and then keeps its runs until its lease
+     * of this owner expires.
      */
     @Override
     public void onRefused() {
       Session session = sessions.get(hostId);
       if (session != null && session.channel.isEmpty()) {
-        lose(hostId, true, session.suspendedAtMs);
+        endSession(hostId, true, session.suspendedAtMs);
       }
     }
 
--- a/daemon/src/main/java/io/hingehoist/owner/JobWaiters.java
+++ b/daemon/src/main/java/io/hingehoist/owner/JobWaiters.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Who waits for which job. Owned by the event loop. */
+/** The callers that wait for the end of each job. Not thread-safe: confined to the event loop. */
 final class JobWaiters {
   private final Map<String, List<Waiter>> waiters = new HashMap<>();
 
@@ -15,7 +15,7 @@
     waiters.computeIfAbsent(jobId, id -> new ArrayList<>()).add(waiter);
   }
 
-  /** Removes a waiter; returns whether it was the last one of its job. */
+  /** Removes a waiter; returns whether it was the last waiter of its job. */
   boolean remove(String jobId, Waiter waiter) {
     List<Waiter> waiting = waiters.get(jobId);
     if (waiting == null || !waiting.remove(waiter) || !waiting.isEmpty()) {
@@ -25,7 +25,8 @@
     return true;
   }
 
-  void end(String jobId, JobEnd end) {
+  /** Notifies the waiters of a job that has ended, and removes them. */
+  void notifyEnd(String jobId, JobEnd end) {
     List<Waiter> waiting = waiters.remove(jobId);
     if (waiting != null) {
       waiting.forEach(waiter -> waiter.onEnd(end));
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -47,10 +47,11 @@
 import java.util.function.Consumer;
 
 /**
- * An owner: one event loop that owns the {@link JobOwner} and carries all connections.
+ * The process of an owner: the {@link JobOwner} and all connections, on one event loop.
  *
- * <p>Nothing in the path of a job asks the control replicas; they bring the configuration and the
- * addresses of hosts.
+ * <p>No step of a job depends on the control replicas; they only supply the configuration and the
+ * addresses of hosts. Not thread-safe: confined to the event loop, except for {@link #start},
+ * {@link #reload} and {@link #stop}.
  */
 public final class OwnerNode implements JobIntake, NodeLoop.Node, AutoCloseable {
   /** The name of the document that holds the routes. */
@@ -59,11 +60,14 @@
   private static final int MAX_BODY_BYTES = 1 << 20;
   private static final int MAX_READY_BODY_BYTES = 4_096;
 
-  /** A planned stop serves at least so long; then the platform has turned to other boxes. */
-  private static final long STOP_SERVING_MS = 2_500;
+  /**
+   * The minimum time for which a stopping owner still accepts jobs. By then the platform sends jobs
+   * to other boxes.
+   */
+  private static final long MIN_STOP_SERVING_MS = 2_500;
 
-  /** A stopping owner takes a job if this many times its objective is left. */
-  private static final double STOP_SPARE_FACTOR = 1.3;
+  /** A stopping owner accepts a job if the time left is at least this multiple of its objective. */
+  private static final double STOP_TIME_FACTOR = 1.3;
 
   private final NodeSection node;
   private final OwnerSection settings;
@@ -74,16 +78,16 @@
   private final RunTiming timing;
   private final JobOwner jobs;
   private final JobWaiters waiters = new JobWaiters();
-  private final Map<String, Long> takenAtMs = new HashMap<>();
+  private final Map<String, Long> acceptedAtMs = new HashMap<>();
   private final PlannedStop stop;
   private final ControlLinks controls;
   private final HostSessions hosts;
   private final HttpServer front;
   private final ZoneKnowledge zones = ZoneKnowledge.create();
-  private final RouteFollower routes;
-  private final SleepDetector sleepWatch = SleepDetector.create();
-  private final SleepDoubt doubt = SleepDoubt.create();
-  private long doubtedSleepMs;
+  private final RouteFetcher routes;
+  private final SleepDetector sleepDetector = SleepDetector.create();
+  private final SleepDoubt sleepCheck = SleepDoubt.create();
+  private long suspectedSleepMs;
   private long tickedAtMs;
 
   private OwnerNode(
@@ -119,7 +123,7 @@
             System.currentTimeMillis(),
             node.zone());
     this.controls = ControlLinks.create(loop, self, metrics, new ControlListener());
-    this.routes = new RouteFollower(CONFIGURATION, controls, log);
+    this.routes = new RouteFetcher(CONFIGURATION, controls, log);
     this.hosts =
         new HostSessions(
             loop,
@@ -160,7 +164,7 @@
     return owner;
   }
 
-  /** Follows settings that were read again: new addresses of control replicas are used as well. */
+  /** Applies reloaded settings: adds connections to new addresses of control replicas. */
   public void reload(NodeSection newNode) {
     loop.execute(() -> controls.open(ControlAddresses.of(newNode)));
   }
@@ -171,99 +175,107 @@
     call.answer(HttpResponse.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
   }
 
-  // Time.
+  // Periodic work.
 
   @Override
   public void onTick(long now) {
     checkSleep();
     if (now - tickedAtMs >= timing.ownerLeaseMs()) {
-      standstill(now - tickedAtMs);
+      handlePause(now - tickedAtMs);
     }
-    if (doubt.hasSlept(now)) {
-      standstill(doubtedSleepMs);
+    if (sleepCheck.hasSlept(now)) {
+      handlePause(suspectedSleepMs);
     }
     tickedAtMs = now;
     controls.onTick(now);
     routes.onTick(now);
     hosts.onTick(now);
-    hosts.knock(controls.directory().peers(Role.AGENT), now);
+    hosts.announceToMissing(controls.directory().peers(Role.AGENT), now);
     jobs.onTick(now);
     if (stop.hasBegun()) {
       checkStop(now);
     }
   }
 
-  /** The hosts have stopped this owner's runs by now, and its callers may be elsewhere. */
-  private void standstill(long ms) {
-    log.write("stoodStill", node.nodeId(), "ms=" + ms + " jobsDropped=" + jobs.jobCount());
+  /**
+   * Drops all jobs and sessions after a pause of this process. By now the hosts have stopped this
+   * owner's runs, and its callers may have submitted their jobs to other owners.
+   */
+  private void handlePause(long pauseMs) {
+    log.write("stoodStill", node.nodeId(), "ms=" + pauseMs + " jobsDropped=" + jobs.jobCount());
     jobs.dropAll("owner stood still");
-    hosts.loseAll();
+    hosts.endAll();
   }
 
-  /** Before anything goes out: after a sleep as long as a lease, hosts and callers have gone on. */
+  /**
+   * Checks for a system sleep, before anything is sent: after a sleep as long as a lease, hosts
+   * have stopped this owner's runs and callers may have submitted their jobs to other owners.
+   */
   private void checkSleep() {
-    long sleptMs = sleepWatch.sleptMs();
+    long sleptMs = sleepDetector.sleptMs();
     if (sleptMs >= timing.ownerLeaseMs() && jobs.jobCount() > 0) {
-      doubtedSleepMs = sleptMs;
-      int asked = hosts.sendWhereRunsAre(new SessionProbe(doubt.nextNumber()));
-      doubt.begin(asked, EventLoop.nowMs());
+      suspectedSleepMs = sleptMs;
+      int asked = hosts.sendToHostsWithRuns(new SessionProbe(sleepCheck.nextNumber()));
+      sleepCheck.begin(asked, EventLoop.nowMs());
       log.write("mayHaveSlept", node.nodeId(), "ms=" + sleptMs + " hostsAsked=" + asked);
     }
   }
 
   private void checkStop(long now) {
-    boolean quiet = stop.elapsedMs(now) >= STOP_SERVING_MS && front.openCalls() == 0;
-    if (quiet || stop.leftMs(now) <= 0) {
-      stop.settle();
+    boolean drained = stop.elapsedMs(now) >= MIN_STOP_SERVING_MS && front.openExchanges() == 0;
+    if (drained || stop.leftMs(now) <= 0) {
+      stop.complete();
     }
   }
 
   /**
-   * Stops as planned: is not ready any more, takes jobs until the platform has turned away, and
-   * waits for those that are here. Returns whether all were answered. Called from another thread.
+   * Performs a planned stop: reports not ready, accepts jobs until the platform sends them
+   * elsewhere, and waits for the jobs in progress. Returns whether all were answered. Called from
+   * another thread than the event loop.
    */
   public boolean stop() {
     boolean ended =
         loop.stop(
             nowMs -> {
-              front.closeAfterAnswers();
+              front.closeAfterResponses();
               log.write("stopping", node.nodeId(), "jobs=" + jobs.jobCount());
             });
     log.write("stopped", node.nodeId(), "jobsLeft=" + jobs.jobCount());
     return ended && jobs.jobCount() == 0;
   }
 
-  // Effects.
+  // Effects of decisions.
 
   @Override
-  public void settle(long nowMs) {
+  public void flush(long nowMs) {
     checkSleep();
-    if (doubt.isOpen()) {
+    if (sleepCheck.isOpen()) {
       return;
     }
     jobs.place(nowMs);
-    // An answer may free a caller's connection for its next job, which settles by itself.
+    // An answer may free a caller's connection for its next job, which schedules its own flush.
     jobs.takeEffects().forEach(this::carryOut);
   }
 
   private void carryOut(OwnerEffect effect) {
     switch (effect) {
-      case OwnerEffect.ToHost to -> hosts.send(to.hostId(), to.message());
-      case OwnerEffect.Noted noted -> log.write(noted.decision());
+      case OwnerEffect.ToHost send -> hosts.send(send.hostId(), send.message());
+      case OwnerEffect.Noted logged -> log.write(logged.decision());
       case OwnerEffect.Answer answer -> answer(answer.jobId(), answer.end());
     }
   }
 
   private void answer(String jobId, JobEnd end) {
-    long ms = EventLoop.nowMs() - takenAtMs.remove(jobId);
+    long elapsedMs = EventLoop.nowMs() - acceptedAtMs.remove(jobId);
     String kind = end.getClass().getSimpleName();
-    metrics.recordAnswer("job", kind, ms / 1_000.0);
+    metrics.recordAnswer("job", kind, elapsedMs / 1_000.0);
     log.write(
-        new io.hingehoist.run.Decision("jobAnswered", jobId, "", "", "ms=" + ms + " end=" + end));
-    waiters.end(jobId, end);
+        new io.hingehoist.run.Decision(
+            "jobAnswered", jobId, "", "", "ms=" + elapsedMs + " end=" + end));
+    waiters.notifyEnd(jobId, end);
   }
 
-  // What callers ask for, by the adapter.
+  // Requests of callers, through the adapter.
 
   @Override
   public Optional<RouteTable> routes() {
@@ -277,7 +289,7 @@
 
   @Override
   public boolean refuses(JobPlan plan) {
-    double neededMs = STOP_SPARE_FACTOR * plan.objectiveMs();
+    double neededMs = STOP_TIME_FACTOR * plan.objectiveMs();
     return stop.hasBegun() && stop.leftMs(EventLoop.nowMs()) < neededMs;
   }
 
@@ -286,29 +298,29 @@
     long now = EventLoop.nowMs();
     waiters.add(plan.jobId(), waiter);
     if (jobs.submit(plan, now)) {
-      takenAtMs.put(plan.jobId(), now);
+      acceptedAtMs.put(plan.jobId(), now);
     }
-    loop.settleLater();
+    loop.flushLater();
   }
 
   @Override
   public void leave(String jobId, Waiter waiter) {
     if (waiters.remove(jobId, waiter)) {
       jobs.abandon(jobId, "caller left");
-      loop.settleLater();
+      loop.flushLater();
     }
   }
 
   @Override
   public boolean cancel(String jobId) {
     boolean found = jobs.cancel(jobId);
-    loop.settleLater();
+    loop.flushLater();
     return found;
   }
 
   @Override
   public boolean isHere(String jobId) {
-    return takenAtMs.containsKey(jobId);
+    return acceptedAtMs.containsKey(jobId);
   }
 
   @Override
@@ -316,21 +328,21 @@
     return jobs.pendingCount(queue);
   }
 
-  // What control replicas and hosts say.
+  // Messages of control replicas and hosts.
 
   /**
-   * Passes news on to every host, before any further order to it: a host in an evacuated zone
-   * refuses, also where it reaches no control replica itself.
+   * Stores a newer version of the evacuated zones and relays it to every host before any further
+   * order, so that a host in an evacuated zone refuses runs even if it reaches no control replica.
    */
-  private void learnZones(EvacuatedZones heard, String source) {
-    if (zones.learn(heard, EventLoop.nowMs())) {
-      String outcome = "version=%d evacuated=%s".formatted(heard.version(), heard.zones());
+  private void updateZones(EvacuatedZones received, String source) {
+    if (zones.learn(received, EventLoop.nowMs())) {
+      String outcome = "version=%d evacuated=%s".formatted(received.version(), received.zones());
       log.write("zonesInForce", source, outcome);
-      hosts.sendToAll(heard);
+      hosts.sendToAll(received);
     }
   }
 
-  private void tellZones(String hostId) {
+  private void sendZones(String hostId) {
     zones.newest().ifPresent(newest -> hosts.send(hostId, newest));
   }
 
@@ -349,8 +361,8 @@
     }
 
     @Override
-    public void onZones(String address, EvacuatedZones heard) {
-      learnZones(heard, address);
+    public void onZones(String address, EvacuatedZones received) {
+      updateZones(received, address);
     }
 
     @Override
@@ -365,9 +377,9 @@
   private final class HostListener implements HostSessions.Listener {
     @Override
     public void onOpened(String hostId, SessionOpened opened) {
-      tellZones(hostId);
+      sendZones(hostId);
       jobs.sessionOpened(hostId, opened.zone(), opened.hostIncarnation(), opened.formerRunsOver());
-      loop.settleLater();
+      loop.flushLater();
     }
 
     @Override
@@ -379,13 +391,13 @@
           metrics.countTask(ended.end().name());
           jobs.runEnded(hostId, ended, now);
         }
-        case WorkerCrashed news -> jobs.workerCrashed(news, now);
-        case SessionProof proof -> doubt.proven(proof.number());
+        case WorkerCrashed crash -> jobs.workerCrashed(crash, now);
+        case SessionProof proof -> sleepCheck.proven(proof.number());
         case RunNotStarted report -> jobs.runNotStarted(hostId, report, now);
-        case EvacuatedZones heard -> learnZones(heard, hostId);
+        case EvacuatedZones received -> updateZones(received, hostId);
         default -> metrics.countBadFrame();
       }
-      loop.settleLater();
+      loop.flushLater();
     }
 
     @Override
@@ -403,28 +415,28 @@
     public void onResumed(String hostId, long suspendedForMs, int repeatedMessages) {
       String outcome = "suspendedForMs=%d repeated=%d".formatted(suspendedForMs, repeatedMessages);
       log.write("sessionResumed", hostId, outcome);
-      tellZones(hostId);
+      sendZones(hostId);
       jobs.sessionResumed(hostId);
-      loop.settleLater();
+      loop.flushLater();
     }
 
     @Override
-    public void onLost(String hostId, boolean silent, long leaseSinceMs) {
-      jobs.sessionLost(hostId, silent, leaseSinceMs);
-      loop.settleLater();
+    public void onLost(String hostId, boolean mayHoldLease, long leaseRenewedAtMs) {
+      jobs.sessionLost(hostId, mayHoldLease, leaseRenewedAtMs);
+      loop.flushLater();
     }
 
     @Override
     public void onAnnounce(Peer peer) {
-      controls.told(peer);
+      controls.addAnnounced(peer);
     }
 
-    /** An owner that may have slept itself proves nothing. */
+    /** Sends the proof unless this process may have slept itself. */
     @Override
-    public void onProbe(long number, Consumer<Message> answers) {
+    public void onProbe(long number, Consumer<Message> replies) {
       checkSleep();
-      if (!doubt.isOpen()) {
-        answers.accept(new SessionProof(number, EventLoop.nowMs()));
+      if (!sleepCheck.isOpen()) {
+        replies.accept(new SessionProof(number, EventLoop.nowMs()));
       }
     }
   }
--- a/daemon/src/main/java/io/hingehoist/quorum/ClientRequests.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ClientRequests.java
@@ -40,21 +40,21 @@
 import java.util.function.Supplier;
 
 /**
- * The requests of entries and agents that wait for the log: proposals for their result, reads for a
- * round of heartbeats, and queries for the end of a job. Owned by the control thread.
+ * The pending requests of entries and agents: proposals wait for their result, reads for a round of
+ * heartbeats, and queries for the end of a job. Not thread-safe: confined to the control thread.
  */
 final class ClientRequests {
-  private record Waiting(MessageSink client, Message request) {}
+  private record PendingRequest(MessageSink client, Message request) {}
 
   private record JobWaiter(MessageSink client, long requestId, long expiresAtMs) {}
 
   private final Supplier<ControlState> state;
   private final Replica replica;
   private final long leaseMs;
-  private final Map<Long, Waiting> byToken = new HashMap<>();
-  private final Map<Long, Waiting> byIndex = new HashMap<>();
+  private final Map<Long, PendingRequest> byToken = new HashMap<>();
+  private final Map<Long, PendingRequest> byIndex = new HashMap<>();
   private final Map<Long, List<JobWaiter>> jobWaiters = new HashMap<>();
-  private long nextToken;
+  private long lastToken;
 
   ClientRequests(Supplier<ControlState> state, Replica replica, long leaseMs) {
     this.state = state;
@@ -62,18 +62,18 @@
     this.leaseMs = leaseMs;
   }
 
-  /** Notes a request and returns the token that stands for it. */
+  /** Adds a request and returns the token that identifies it. */
   long add(MessageSink client, Message request) {
-    byToken.put(++nextToken, new Waiting(client, request));
-    return nextToken;
+    byToken.put(++lastToken, new PendingRequest(client, request));
+    return lastToken;
   }
 
-  /** Returns the token of a proposal that nobody waits for. */
-  long addUnawaited() {
-    return ++nextToken;
+  /** Returns a new token for a proposal without a waiting client. */
+  long nextToken() {
+    return ++lastToken;
   }
 
-  /** Returns whether a proposal holds a command; answers it if not. */
+  /** Returns the command of a proposal. If it can't be decoded, returns empty and responds. */
   static Optional<Command> commandOf(MessageSink client, ProposeRequest request) {
     try {
       return Optional.of(Command.fromBytes(request.command()));
@@ -83,23 +83,25 @@
     }
   }
 
-  void accepted(long token, long index) {
-    Waiting waiting = byToken.remove(token);
-    if (waiting != null) {
-      byIndex.put(index, waiting);
+  /** Called when a proposal was appended to the log at an index. */
+  void onAccepted(long token, long index) {
+    PendingRequest pending = byToken.remove(token);
+    if (pending != null) {
+      byIndex.put(index, pending);
     }
   }
 
-  void rejected(long token) {
-    Waiting waiting = byToken.remove(token);
-    if (waiting != null) {
-      refuse(waiting, ReplyStatus.NOT_LEADER);
+  /** Called when a request was rejected, as this replica does not lead. */
+  void onRejected(long token) {
+    PendingRequest pending = byToken.remove(token);
+    if (pending != null) {
+      sendFailure(pending, ReplyStatus.NOT_LEADER);
     }
   }
 
-  /** Answers everything that this replica, no longer the leader, can't see the end of. */
-  void leadershipEnded() {
-    byIndex.values().forEach(waiting -> refuse(waiting, ReplyStatus.UNAVAILABLE));
+  /** Responds to the requests whose outcome this replica, no longer the leader, can't observe. */
+  void onLeadershipLost() {
+    byIndex.values().forEach(pending -> sendFailure(pending, ReplyStatus.UNAVAILABLE));
     byIndex.clear();
     jobWaiters
         .values()
@@ -118,20 +120,20 @@
     jobWaiters.clear();
   }
 
-  private void refuse(Waiting waiting, ReplyStatus status) {
+  private void sendFailure(PendingRequest pending, ReplyStatus status) {
     String leader = replica.leaderAddress();
-    Message answer =
-        switch (waiting.request()) {
+    Message response =
+        switch (pending.request()) {
           case ProposeRequest r ->
               new ProposeResponse(r.requestId(), status, leader, Bytes.empty());
           case QueryRequest r -> new QueryResponse(r.requestId(), status, leader, Bytes.empty());
-          case HeartbeatRequest r -> emptyHeartbeat(r.requestId(), status, leader);
-          default -> throw new IllegalStateException("not a request: " + waiting.request());
+          case HeartbeatRequest r -> failedHeartbeat(r.requestId(), status, leader);
+          default -> throw new IllegalStateException("not a request: " + pending.request());
         };
-    waiting.client().send(answer);
+    pending.client().send(response);
   }
 
-  private static HeartbeatResponse emptyHeartbeat(
+  private static HeartbeatResponse failedHeartbeat(
       long requestId, ReplyStatus status, String leader) {
     return new HeartbeatResponse(
         requestId,
@@ -147,11 +149,11 @@
         MemberState.GONE);
   }
 
-  /** Answers the proposal at an index, if its proposer waits here. */
-  void applied(long index, CommandResult result) {
-    Waiting waiting = byIndex.remove(index);
-    if (waiting != null && waiting.request() instanceof ProposeRequest request) {
-      waiting
+  /** Responds to the proposal at an index, if its proposer waits at this replica. */
+  void onApplied(long index, CommandResult result) {
+    PendingRequest pending = byIndex.remove(index);
+    if (pending != null && pending.request() instanceof ProposeRequest request) {
+      pending
           .client()
           .send(
               new ProposeResponse(
@@ -159,20 +161,20 @@
     }
   }
 
-  /** Answers a read: the applied state holds everything that was committed when it was asked. */
-  void readReady(long token, long nowMs) {
-    Waiting waiting = byToken.remove(token);
-    if (waiting == null) {
+  /** Responds to a read: the applied state includes all that was committed before the request. */
+  void onReadReady(long token, long nowMs) {
+    PendingRequest pending = byToken.remove(token);
+    if (pending == null) {
       return;
     }
-    switch (waiting.request()) {
-      case HeartbeatRequest request -> waiting.client().send(answer(request));
-      case QueryRequest request -> answer(waiting.client(), request, nowMs);
-      default -> throw new IllegalStateException("not a read: " + waiting.request());
+    switch (pending.request()) {
+      case HeartbeatRequest request -> pending.client().send(heartbeatResponse(request));
+      case QueryRequest request -> answerQuery(pending.client(), request, nowMs);
+      default -> throw new IllegalStateException("not a read: " + pending.request());
     }
   }
 
-  private HeartbeatResponse answer(HeartbeatRequest request) {
+  private HeartbeatResponse heartbeatResponse(HeartbeatRequest request) {
     ControlState current = state.get();
     boolean entry = request.role() == Role.ENTRY;
     String nodeId = request.nodeId();
@@ -196,7 +198,7 @@
         memberState);
   }
 
-  private void answer(MessageSink client, QueryRequest request, long nowMs) {
+  private void answerQuery(MessageSink client, QueryRequest request, long nowMs) {
     Query query;
     try {
       query = Query.fromBytes(request.query());
@@ -206,9 +208,9 @@
     }
     switch (query) {
       case GetJob get ->
-          send(client, request.requestId(), record(state.get().job(get.jobId()), true));
-      case FindJob find -> answer(client, request.requestId(), find, nowMs);
-      case GetDocument get -> send(client, request.requestId(), version(get.name()));
+          send(client, request.requestId(), toAnswer(state.get().job(get.jobId()), true));
+      case FindJob find -> answerFindJob(client, request.requestId(), find, nowMs);
+      case GetDocument get -> send(client, request.requestId(), documentVersion(get.name()));
       case GetDocumentVersion get -> {
         long newest = state.get().document(get.name()).map(DocumentRow::version).orElse(0L);
         send(client, request.requestId(), new NewestVersion(newest));
@@ -221,7 +223,7 @@
     }
   }
 
-  private void answer(MessageSink client, long requestId, FindJob find, long nowMs) {
+  private void answerFindJob(MessageSink client, long requestId, FindJob find, long nowMs) {
     Optional<JobRow> row = state.get().job(find.caller(), find.submissionId());
     boolean running = row.isPresent() && row.get().outcome().isEmpty();
     if (running && find.waitMs() > 0) {
@@ -230,10 +232,10 @@
           .add(new JobWaiter(client, requestId, nowMs + find.waitMs()));
       return;
     }
-    send(client, requestId, record(row, false));
+    send(client, requestId, toAnswer(row, false));
   }
 
-  private QueryAnswer version(String document) {
+  private QueryAnswer documentVersion(String document) {
     return state
         .get()
         .document(document)
@@ -241,7 +243,7 @@
         .orElse(new DocumentVersion(0, Bytes.empty()));
   }
 
-  private QueryAnswer record(Optional<JobRow> found, boolean withPayloads) {
+  private QueryAnswer toAnswer(Optional<JobRow> found, boolean withPayloads) {
     if (found.isEmpty()) {
       return new NoSuchJob();
     }
@@ -268,8 +270,8 @@
         new QueryResponse(requestId, ReplyStatus.OK, replica.leaderAddress(), answer.toBytes()));
   }
 
-  /** Answers those who wait for a job that has ended. */
-  void jobEnded(long jobId) {
+  /** Responds to the clients that wait for a job that has ended. */
+  void onJobEnded(long jobId) {
     List<JobWaiter> waiters = jobWaiters.remove(jobId);
     if (waiters != null) {
       waiters.forEach(waiter -> answerWaiter(jobId, waiter));
@@ -277,10 +279,10 @@
   }
 
   private void answerWaiter(long jobId, JobWaiter waiter) {
-    send(waiter.client(), waiter.requestId(), record(state.get().job(jobId), false));
+    send(waiter.client(), waiter.requestId(), toAnswer(state.get().job(jobId), false));
   }
 
-  /** Answers those who have waited for as long as they asked to, or whose connection is gone. */
+  /** Responds to the clients whose wait has expired, and removes those that have disconnected. */
   void expire(long nowMs) {
     jobWaiters.forEach(
         (jobId, waiters) -> {
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlEvent.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlEvent.java
@@ -5,7 +5,7 @@
 import io.hingehoist.wire.MessageSink;
 import java.util.List;
 
-/** Something that traffic threads hand to the control thread. */
+/** An event that other threads put into the queue of the control thread. */
 sealed interface ControlEvent {
 
   /** Another replica sent a message. */
@@ -14,10 +14,10 @@
   /** An entry or agent, or an adapter in this process, sent a request. */
   record FromClient(MessageSink client, Message message) implements ControlEvent {}
 
-  /** A process made itself known. */
+  /** A process announced itself. */
   record Announced(MessageSink sender, Announce announce) implements ControlEvent {}
 
-  /** The settings name other replicas. */
+  /** The reloaded settings list the addresses of replicas. */
   record AddressesChanged(List<String> addresses) implements ControlEvent {}
 
   /** The platform's list of boxes was read. */
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
@@ -70,22 +70,22 @@
 import org.jboss.logging.Logger;
 
 /**
- * A control replica: one control thread that owns the log, the applied state and the journal, and
- * traffic threads that only hand messages over.
+ * A control replica. The control thread owns the log, the applied state and the journal; the
+ * threads of connections only put messages into its queue.
  *
- * <p>The thread works in batches: it takes every event that waits, lets the replica decide, writes
- * and syncs the journal once, and then sends what promises something about the disk.
+ * <p>The control thread works in batches: it drains its queue, passes the events to the replica,
+ * writes and syncs the journal once, and only then sends the messages that depend on durable data.
  */
 public final class ControlNode implements AutoCloseable {
   private static final Logger LOG = Logger.getLogger(ControlNode.class);
   private static final int MAX_BATCH = 1_000;
   private static final int MAX_QUEUED_FRAMES = 32_768;
   private static final long TICK_MS = 30;
-  private static final long CLOCK_PERIOD_MS = 5_000;
-  private static final long REPROPOSE_MS = 1_000;
+  private static final long CLOCK_INTERVAL_MS = 5_000;
+  private static final long REPROPOSE_INTERVAL_MS = 1_000;
 
-  /** Time for the last group commit, the sync of a slow disk included. */
-  private static final long CLOSE_PATIENCE_MS = 5_000;
+  /** The time-out for the last group commit, including the sync of a slow disk. */
+  private static final long CLOSE_TIMEOUT_MS = 5_000;
 
   private static final long MAX_SEGMENT_BYTES = 64L * 1024 * 1024;
 
@@ -98,10 +98,10 @@
   private final ReplicaLinks links;
   private final Discovery discovery;
   private final Optional<RouteFeed> routeFeed;
-  private final boolean discovers;
+  private final boolean discoversPeers;
   private final int voterCount;
   private final InboxLoop<ControlEvent> loop;
-  private final List<ReplicaEffect.SendDurable> afterSync = new ArrayList<>();
+  private final List<ReplicaEffect.SendDurable> sendsAfterSync = new ArrayList<>();
   private final Map<Command, Long> proposedAtMs = new HashMap<>();
   private final Thread platformThread;
   private final FrameServer server;
@@ -111,7 +111,7 @@
   private boolean documentsChanged;
   private long publishedZonesVersion = -1;
   private long tickedAtMs;
-  private long clockAtMs;
+  private long clockAdvancedAtMs;
   private volatile boolean closed;
   private volatile boolean leading;
 
@@ -127,7 +127,7 @@
     this.routeFeed = routeFeed;
     this.settings = settings;
     this.journal = journal;
-    // After a failed sync nothing is known of the disk: going on could break a promise.
+    // After a failed sync, the state of the disk is unknown, so acknowledged data could be lost.
     this.loop = InboxLoop.create("control", TICK_MS, MAX_BATCH, new LoopNode(), fatal);
     this.metrics = metrics;
     List<String> controlAddresses = ControlAddresses.of(node);
@@ -153,8 +153,8 @@
     this.requests = new ClientRequests(() -> state, replica, settings.leaseMs());
     Hello hello = new Hello(Role.CONTROL, replica.id(), 0, "", FrameConnection.PROTOCOL_VERSION);
     this.links =
-        new ReplicaLinks(settings.listenAddress(), hello, new ReplicaPeer(), metrics, threads);
-    this.discovers = node.peerPort() > 0;
+        new ReplicaLinks(settings.listenAddress(), hello, new OutgoingHandler(), metrics, threads);
+    this.discoversPeers = node.peerPort() > 0;
     this.discovery =
         new Discovery(
             new Peer(
@@ -167,7 +167,7 @@
     this.server =
         FrameServer.open(
             Addresses.firstNonEmpty(settings.bindAddress(), settings.listenAddress()),
-            Greeter::new,
+            IncomingHandler::new,
             metrics,
             threads,
             MAX_QUEUED_FRAMES);
@@ -176,10 +176,10 @@
   }
 
   /**
-   * Starts a replica on the state that its data folder holds.
+   * Starts a replica from the state in its data folder.
    *
-   * @param routeFeed tells owners of routes, where documents hold them
-   * @param fatal gets the error after which this process must not go on
+   * @param routeFeed sends routes to owners, if the documents of the log hold routes
+   * @param fatal called with an error after which this process must stop
    * @throws IOException if the data folder is damaged or the address can't be opened
    */
   public static ControlNode start(
@@ -201,21 +201,21 @@
     return control;
   }
 
-  /** Follows settings that were read again: new addresses of replicas are used as well. */
+  /** Applies reloaded settings: adds connections to new addresses of replicas. */
   public void reload(NodeSection node) {
     loop.add(new ControlEvent.AddressesChanged(ControlAddresses.of(node)));
   }
 
-  /** Takes a request from within this process; the answer goes to the sink. */
+  /** Submits a request from within this process; the response is sent to the sink. */
   public void submit(MessageSink client, Message request) {
     if (!isFromClient(request)) {
-      throw new IllegalArgumentException("not a request: " + request);
+      throw new IllegalArgumentException("not a client request: " + request);
     }
     loop.add(new ControlEvent.FromClient(client, request));
   }
 
-  /** Returns whether this replica leads. */
-  public boolean isLeading() {
+  /** Returns whether this replica is the leader. Thread-safe. */
+  public boolean isLeader() {
     return leading;
   }
 
@@ -236,7 +236,7 @@
   private final class LoopNode implements InboxLoop.Node<ControlEvent> {
     @Override
     public void onBatch(List<ControlEvent> events, long nowMs) throws IOException {
-      handle(events, nowMs);
+      handleBatch(events, nowMs);
     }
 
     @Override
@@ -245,7 +245,7 @@
     }
   }
 
-  private void handle(List<ControlEvent> batch, long now) throws IOException {
+  private void handleBatch(List<ControlEvent> batch, long now) throws IOException {
     for (ControlEvent event : batch) {
       handle(event, now);
     }
@@ -255,29 +255,29 @@
       requests.expire(now);
       proposeDue(now);
     }
-    if (discovers) {
+    if (discoversPeers) {
       discover(now);
     }
     carryOut(replica.flush(now));
     publishDocuments();
     syncJournal();
-    afterSync.forEach(send -> send(send.address(), send.message()));
-    afterSync.clear();
+    sendsAfterSync.forEach(send -> send(send.address(), send.message()));
+    sendsAfterSync.clear();
     saveSnapshotIfDue();
   }
 
   private void handle(ControlEvent event, long now) throws IOException {
     switch (event) {
       case ControlEvent.FromReplica from -> step(new ReplicaEvent.Received(from.message()), now);
-      case ControlEvent.FromClient from -> handle(from.client(), from.message(), now);
-      case ControlEvent.Announced announced -> handle(announced, now);
+      case ControlEvent.FromClient from -> handleRequest(from.client(), from.message(), now);
+      case ControlEvent.Announced announced -> handleAnnounce(announced, now);
       case ControlEvent.AddressesChanged changed ->
           changed.addresses().forEach(address -> links.open(address, now));
-      case ControlEvent.Platform platform -> handle(platform.boxes(), now);
+      case ControlEvent.Platform platform -> handlePlatformList(platform.boxes(), now);
     }
   }
 
-  private void handle(MessageSink client, Message message, long now) throws IOException {
+  private void handleRequest(MessageSink client, Message message, long now) throws IOException {
     switch (message) {
       case ProposeRequest request -> {
         if (mayPropose(client, request)) {
@@ -289,16 +289,17 @@
           step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
       case HeartbeatRequest request -> {
         liveness.heard(request.role(), request.nodeId(), request.incarnation(), now);
-        noteDraining(request, now);
+        proposeDraining(request, now);
         step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
       }
-      default -> throw new IllegalStateException("not a request: " + message);
+      default -> throw new IllegalStateException("not a client request: " + message);
     }
   }
 
   /**
-   * Until a document was accepted, neither one nor an order about a zone is before all voters are
-   * there: it must bear their loss.
+   * Returns whether a request may be proposed; responds to it if not. Before the first document is
+   * accepted, documents and zone changes are refused until all voters have joined, as an accepted
+   * one must survive the loss of as many replicas as the deployment tolerates.
    */
   private boolean mayPropose(MessageSink client, ProposeRequest request) {
     Optional<Command> command = ClientRequests.commandOf(client, request);
@@ -323,25 +324,26 @@
     step(new ReplicaEvent.Proposed(token, command, System.currentTimeMillis()), now);
   }
 
-  /** Proposes a command of the leader's own, unless the same was proposed a moment ago. */
+  /** Proposes a command of the leader itself, unless the same was proposed recently. */
   private void proposeOnce(Command command, long now) throws IOException {
-    Long earlier = proposedAtMs.get(command);
-    if (!replica.isLeader() || (earlier != null && now - earlier < REPROPOSE_MS)) {
+    Long lastProposedAtMs = proposedAtMs.get(command);
+    if (!replica.isLeader()
+        || (lastProposedAtMs != null && now - lastProposedAtMs < REPROPOSE_INTERVAL_MS)) {
       return;
     }
     proposedAtMs.put(command, now);
-    propose(requests.addUnawaited(), command.toBytes(), now);
+    propose(requests.nextToken(), command.toBytes(), now);
   }
 
-  private void noteDraining(HeartbeatRequest request, long now) throws IOException {
-    boolean leavesLive =
+  private void proposeDraining(HeartbeatRequest request, long now) throws IOException {
+    boolean startsDraining =
         request.draining()
             && state
                 .agent(request.nodeId())
                 .filter(row -> row.info().incarnation() == request.incarnation())
                 .filter(row -> row.info().state() == MemberState.LIVE)
                 .isPresent();
-    if (leavesLive) {
+    if (startsDraining) {
       proposeOnce(
           new ChangeAgentState(
               request.nodeId(),
@@ -353,16 +355,16 @@
     }
   }
 
-  private void handle(PlatformList.Boxes boxes, long now) throws IOException {
+  private void handlePlatformList(PlatformList.Boxes boxes, long now) throws IOException {
     for (PlatformList.Box box : boxes.boxes()) {
       Optional<AgentRow> row = state.agent(String.valueOf(box.agentId()));
       if (row.isPresent()) {
-        handle(box, row.get(), now);
+        handleBox(box, row.get(), now);
       }
     }
   }
 
-  private void handle(PlatformList.Box box, AgentRow row, long now) throws IOException {
+  private void handleBox(PlatformList.Box box, AgentRow row, long now) throws IOException {
     MemberState current = row.info().state();
     boolean undoesOwnDrain =
         current == MemberState.DRAINING && row.stateSource().equals("platform");
@@ -385,10 +387,10 @@
     for (Command command : liveness.dueCommands(state, now)) {
       proposeOnce(command, now);
     }
-    if (now - clockAtMs >= CLOCK_PERIOD_MS) {
-      clockAtMs = now;
-      proposedAtMs.values().removeIf(at -> now - at > REPROPOSE_MS);
-      propose(requests.addUnawaited(), new AdvanceClock(settings.retentionMs()).toBytes(), now);
+    if (now - clockAdvancedAtMs >= CLOCK_INTERVAL_MS) {
+      clockAdvancedAtMs = now;
+      proposedAtMs.values().removeIf(at -> now - at > REPROPOSE_INTERVAL_MS);
+      propose(requests.nextToken(), new AdvanceClock(settings.retentionMs()).toBytes(), now);
     }
   }
 
@@ -405,16 +407,17 @@
   private void carryOut(ReplicaEffect effect) throws IOException {
     switch (effect) {
       case ReplicaEffect.Send send -> send(send.address(), send.message());
-      case ReplicaEffect.SendDurable send -> afterSync.add(send);
+      case ReplicaEffect.SendDurable send -> sendsAfterSync.add(send);
       case ReplicaEffect.SaveVote vote -> journal.addVote(vote.term(), vote.votedFor());
       case ReplicaEffect.Append append -> journal.addEntries(append.entries());
       case ReplicaEffect.Truncate truncate -> journal.addTruncation(truncate.fromIndex());
       case ReplicaEffect.Install install -> install(install.snapshot());
       case ReplicaEffect.JoinCluster join -> journal.joinCluster(join.clusterId());
       case ReplicaEffect.Apply apply -> apply(apply.entry());
-      case ReplicaEffect.Accepted accepted -> requests.accepted(accepted.token(), accepted.index());
-      case ReplicaEffect.Rejected rejected -> requests.rejected(rejected.token());
-      case ReplicaEffect.ReadReady ready -> requests.readReady(ready.token(), nowMs());
+      case ReplicaEffect.Accepted accepted ->
+          requests.onAccepted(accepted.token(), accepted.index());
+      case ReplicaEffect.Rejected rejected -> requests.onRejected(rejected.token());
+      case ReplicaEffect.ReadReady ready -> requests.onReadReady(ready.token(), nowMs());
       case ReplicaEffect.RoleChanged changed -> changeRole(changed);
     }
   }
@@ -424,7 +427,8 @@
   }
 
   /**
-   * Once for all entries of a batch: after a start, the versions before the newest are of no use.
+   * Publishes changed documents and zones, once for all entries of a batch: after a start, all
+   * versions but the newest are obsolete.
    */
   private void publishDocuments() {
     if (documentsChanged) {
@@ -443,26 +447,29 @@
     discovery.publish(row);
   }
 
-  /** A replica with an empty log, whose disk was lost perhaps, knows nothing of the zones. */
+  /**
+   * Returns the evacuated zones, or empty if the log is empty: then the disk may have been lost,
+   * and the zones are not known.
+   */
   private Optional<EvacuatedZones> knownZones() {
     return appliedIndex == 0 ? Optional.empty() : Optional.of(state.evacuatedZones());
   }
 
-  /** Makes this replica known to the others, and takes note of where they are. */
+  /** Announces this replica to the others and updates their addresses. */
   private void discover(long now) {
     discovery
         .dueAnnounce(now)
         .ifPresent(
             announce -> {
               links.sendToAll(announce);
-              links.renewSilent(now);
+              links.reconnectSilent(now);
               discovery.controlAddresses().forEach(address -> links.open(address, now));
               replica.knowAddresses(links.addresses());
             });
   }
 
-  private void handle(ControlEvent.Announced announced, long now) {
-    links.heard(announced.announce().self().address(), now);
+  private void handleAnnounce(ControlEvent.Announced announced, long now) {
+    links.recordReceived(announced.announce().self().address(), now);
     discovery.onAnnounce(
         announced.sender(), announced.announce(), state.documents(), knownZones(), now);
   }
@@ -471,15 +478,15 @@
     CommandResult result = state.apply(entry);
     appliedIndex = entry.index();
     countSettingsChange(result);
-    noteDocument(entry, result);
-    noteZones(entry, result);
+    logDocumentChange(entry, result);
+    logZoneChange(entry, result);
     if (entry.kind() == EntryKind.COMMAND) {
-      requests.applied(entry.index(), result);
-      completedJob(entry).ifPresent(requests::jobEnded);
+      requests.onApplied(entry.index(), result);
+      completedJob(entry).ifPresent(requests::onJobEnded);
     }
   }
 
-  private void noteDocument(LogEntry entry, CommandResult result) {
+  private void logDocumentChange(LogEntry entry, CommandResult result) {
     if (result instanceof DocumentAccepted accepted && entry.kind() == EntryKind.COMMAND) {
       for (DocumentRow row : state.documents()) {
         if (row.version() == accepted.heldVersion()) {
@@ -492,7 +499,7 @@
     }
   }
 
-  private void noteZones(LogEntry entry, CommandResult result) {
+  private void logZoneChange(LogEntry entry, CommandResult result) {
     if (result instanceof ZoneAccepted accepted) {
       EvacuatedZones zones = state.evacuatedZones();
       LOG.infof(
@@ -518,7 +525,7 @@
           ? Optional.of(complete.jobId())
           : Optional.empty();
     } catch (IOException e) {
-      throw new IllegalStateException("a committed command can't be read", e);
+      throw new IllegalStateException("can't decode a committed command", e);
     }
   }
 
@@ -532,7 +539,7 @@
       liveness.reset(nowMs());
       proposedAtMs.clear();
     } else {
-      requests.leadershipEnded();
+      requests.onLeadershipLost();
     }
   }
 
@@ -572,7 +579,7 @@
     step(new ReplicaEvent.SnapshotSaved(snapshot), nowMs());
   }
 
-  // Traffic threads.
+  // Threads of connections.
 
   private static boolean isFromReplica(Message message) {
     return switch (message) {
@@ -593,8 +600,8 @@
         || message instanceof HeartbeatRequest;
   }
 
-  /** Takes what comes back on a connection that this replica opened. */
-  private final class ReplicaPeer implements FrameHandler {
+  /** Closes a connection that this replica opened if the peer sends anything on it. */
+  private final class OutgoingHandler implements FrameHandler {
     @Override
     public void onMessage(FrameConnection connection, Message message) {
       connection.close();
@@ -604,14 +611,14 @@
     public void onClosed(FrameConnection connection) {}
   }
 
-  /** Takes what comes on a connection that others opened; the first message says who they are. */
-  private final class Greeter implements FrameHandler {
+  /** Handles a connection that another process opened; its first message identifies the process. */
+  private final class IncomingHandler implements FrameHandler {
     private Hello hello;
 
     @Override
     public void onMessage(FrameConnection connection, Message message) {
       if (hello == null) {
-        greet(connection, message);
+        handleHello(connection, message);
       } else if (message instanceof Announce announce) {
         loop.add(new ControlEvent.Announced(connection, announce));
       } else if (message instanceof RoutesRequest request) {
@@ -626,10 +633,10 @@
       }
     }
 
-    private void greet(FrameConnection connection, Message message) {
-      if (message instanceof Hello greeting
-          && greeting.protocolVersion() == FrameConnection.PROTOCOL_VERSION) {
-        hello = greeting;
+    private void handleHello(FrameConnection connection, Message message) {
+      if (message instanceof Hello received
+          && received.protocolVersion() == FrameConnection.PROTOCOL_VERSION) {
+        hello = received;
       } else {
         metrics.countBadFrame();
         connection.close();
@@ -640,14 +647,14 @@
     public void onClosed(FrameConnection connection) {}
   }
 
-  /** Stops the replica. What is not synced was not acknowledged to anyone. */
+  /** Stops the replica. Entries that are not synced were not acknowledged. */
   @Override
   public void close() {
     closed = true;
     server.close();
     LockSupport.unpark(platformThread);
-    loop.close(CLOSE_PATIENCE_MS);
-    // Until it has ended, the control thread opens links.
+    loop.close(CLOSE_TIMEOUT_MS);
+    // The control thread may open links until it has ended.
     links.close();
   }
 }
--- a/daemon/src/main/java/io/hingehoist/quorum/Discovery.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/Discovery.java
@@ -16,18 +16,18 @@
 import java.util.Optional;
 
 /**
- * What a control replica knows of the deployment's processes, and who follows its documents. Owned
- * by the control thread.
+ * A control replica's directory of the deployment's processes, and the followers that it notifies
+ * of changes. Not thread-safe: confined to the control thread.
  */
 final class Discovery {
-  private static final long ANNOUNCE_MS = 500;
-  private static final long KEPT_MS = 60_000;
-  private static final int MAX_PASSED_ON = 4_096;
+  private static final long ANNOUNCE_INTERVAL_MS = 500;
+  private static final long PEER_RETENTION_MS = 60_000;
+  private static final int MAX_RELAYED_PEERS = 4_096;
 
   private final Peer self;
-  private final PeerDirectory directory = PeerDirectory.create(KEPT_MS);
+  private final PeerDirectory directory = PeerDirectory.create(PEER_RETENTION_MS);
 
-  /** Those that are told of evacuated zones; the entries among them of documents as well. */
+  /** The processes that are notified of evacuated zones, and if entries, also of documents. */
   private final Map<MessageSink, Role> followers = new HashMap<>();
 
   private long announcedAtMs;
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Takes an announcement, and answers one that did not come from a control replica.
+   * Handles an announcement, and responds to it unless it came from a control replica.
    *
-   * @param zones the evacuated zones, if this replica knows anything of them yet
+   * @param zones the evacuated zones, if known to this replica
    */
   void onAnnounce(
       MessageSink sender,
@@ -67,9 +67,9 @@
     }
   }
 
-  /** Returns the announcement that is due to the other control replicas, if one is. */
+  /** Returns the next announcement to the other control replicas, if it is due. */
   Optional<Announce> dueAnnounce(long nowMs) {
-    if (nowMs - announcedAtMs < ANNOUNCE_MS) {
+    if (nowMs - announcedAtMs < ANNOUNCE_INTERVAL_MS) {
       return Optional.empty();
     }
     announcedAtMs = nowMs;
@@ -77,19 +77,20 @@
     followers.keySet().removeIf(follower -> !follower.isOpen());
     List<Peer> known = directory.fresh(nowMs);
     return Optional.of(
-        new Announce(self, known.subList(0, Math.min(MAX_PASSED_ON, known.size())), 0));
+        new Announce(self, known.subList(0, Math.min(MAX_RELAYED_PEERS, known.size())), 0));
   }
 
+  /** Returns the addresses of the known control replicas. */
   List<String> controlAddresses() {
     return directory.peers(Role.CONTROL).stream().map(Peer::address).toList();
   }
 
-  /** Tells those that follow which version of a document was committed. */
+  /** Notifies followers of the committed version of a document. */
   void publish(DocumentRow row) {
     followers.forEach((follower, role) -> send(row, follower, role));
   }
 
-  /** Brings the evacuated zones to every process that announced itself. */
+  /** Sends the evacuated zones to every process that announced itself. */
   void publish(EvacuatedZones zones) {
     followers.keySet().forEach(follower -> follower.send(zones));
   }
--- a/daemon/src/main/java/io/hingehoist/quorum/LocalOrders.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/LocalOrders.java
@@ -26,18 +26,21 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Carries operators' orders out by the replica of this process. Owned by the event loop. */
+/**
+ * Submits operators' orders to the replica of this process. Not thread-safe: confined to the event
+ * loop.
+ */
 public final class LocalOrders implements OperatorOrders {
   private static final long TIMEOUT_MS = 2_500;
 
-  /** Who gives the orders, for the audit trail: the door does not learn more of them. */
+  /** The operator in the audit trail, as the platform's interface does not identify operators. */
   private static final String OPERATOR = "operator";
 
   private final ControlNode control;
   private final EventLoop loop;
   private final String document;
   private final Map<Long, Consumer<Result>> pending = new HashMap<>();
-  private long nextRequest;
+  private long lastRequestId;
 
   private LocalOrders(ControlNode control, EventLoop loop, String document) {
     this.control = control;
@@ -45,7 +48,9 @@
     this.document = document;
   }
 
-  /** Returns the orders of a replica, whose configuration is a document of the log. */
+  /**
+   * Returns the orders to a replica, with the name of the document that holds the configuration.
+   */
   public static LocalOrders of(ControlNode control, EventLoop loop, String document) {
     return new LocalOrders(control, loop, document);
   }
@@ -78,45 +83,45 @@
   }
 
   private void submit(java.util.function.LongFunction<Message> request, Consumer<Result> result) {
-    long id = ++nextRequest;
+    long id = ++lastRequestId;
     pending.put(id, result);
-    control.submit(new Sink(), request.apply(id));
-    loop.schedule(() -> settle(id, new Result.Unknown()), TIMEOUT_MS);
+    control.submit(new ResponseSink(), request.apply(id));
+    loop.schedule(() -> complete(id, new Result.Unknown()), TIMEOUT_MS);
   }
 
-  private void settle(long id, Result result) {
-    Consumer<Result> waiting = pending.remove(id);
-    if (waiting != null) {
-      waiting.accept(result);
+  private void complete(long id, Result result) {
+    Consumer<Result> receiver = pending.remove(id);
+    if (receiver != null) {
+      receiver.accept(result);
     }
   }
 
-  private void take(Message answer) {
-    switch (answer) {
-      case ProposeResponse r -> settle(r.requestId(), result(r.status(), r.leaderAddress(), r));
-      case QueryResponse r -> settle(r.requestId(), result(r.status(), r.leaderAddress(), r));
-      default -> throw new IllegalStateException("not an answer: " + answer);
+  private void handleResponse(Message response) {
+    switch (response) {
+      case ProposeResponse r -> complete(r.requestId(), result(r.status(), r.leaderAddress(), r));
+      case QueryResponse r -> complete(r.requestId(), result(r.status(), r.leaderAddress(), r));
+      default -> throw new IllegalStateException("not a response: " + response);
     }
   }
 
-  private static Result result(ReplyStatus status, String leader, Message answer) {
+  private static Result result(ReplyStatus status, String leader, Message response) {
     return switch (status) {
-      case OK -> decode(answer);
+      case OK -> decode(response);
       case NOT_LEADER ->
           new Result.Elsewhere(leader.isEmpty() ? Optional.empty() : Optional.of(leader));
       case UNAVAILABLE, INVALID -> new Result.Unknown();
     };
   }
 
-  private static Result decode(Message answer) {
+  private static Result decode(Message response) {
     try {
-      return switch (answer) {
+      return switch (response) {
         case ProposeResponse r -> toResult(CommandResult.fromBytes(r.result()));
         case QueryResponse r -> toResult(QueryAnswer.fromBytes(r.result()));
         default -> new Result.Unknown();
       };
     } catch (IOException e) {
-      throw new IllegalStateException("an answer of this process can't be read", e);
+      throw new IllegalStateException("can't decode a response of this process", e);
     }
   }
 
@@ -136,11 +141,11 @@
         : new Result.Unknown();
   }
 
-  /** Brings answers of the control thread to the event loop. */
-  private final class Sink implements MessageSink {
+  /** Passes responses from the control thread to the event loop. */
+  private final class ResponseSink implements MessageSink {
     @Override
     public boolean send(Message message) {
-      loop.execute(() -> take(message));
+      loop.execute(() -> handleResponse(message));
       return true;
     }
 
--- a/daemon/src/main/java/io/hingehoist/quorum/PlatformList.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/PlatformList.java
@@ -15,8 +15,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * Reads the platform's list of live and leaving boxes, from a file or an HTTP URL. The list lags,
- * so it is one source among several: it can drain an agent and undo its own drain, nothing else.
+ * Reads the platform's list of live and leaving boxes from a file or an HTTP URL. As the list may
+ * be out of date, it is only one of several sources: it can drain an agent and undo its own drain,
+ * but nothing else. Not thread-safe: confined to one reader thread.
  *
  * <p>The list is JSON: {@code {"boxes": [{"agentId": "w1", "state": "live"}]}}, where the state is
  * {@code live} or {@code leaving}.
@@ -26,7 +27,7 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
   private static final String LEAVING = "leaving";
 
-  /** One box of the list. */
+  /** A box in the list. */
   record Box(String agentId, String state) {
     boolean isLeaving() {
       return LEAVING.equals(state);
@@ -46,7 +47,7 @@
     this.source = source;
   }
 
-  /** Reads the list and hands it on. A list that can't be read changes nothing. */
+  /** Reads the list and passes it to a receiver, which is not called if reading fails. */
   void read(Consumer<Boxes> receiver) {
     try {
       Boxes boxes = json.readValue(readText(), Boxes.class);
@@ -55,13 +56,13 @@
       }
       failed = false;
     } catch (IOException | IllegalArgumentException e) {
-      noteFailure(e);
+      logFirstFailure(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void noteFailure(Exception e) {
+  private void logFirstFailure(Exception e) {
     if (!failed) {
       LOG.warnf("event=platformListUnreadable source=%s reason=\"%s\"", source, e.getMessage());
     }
--- a/daemon/src/main/java/io/hingehoist/quorum/ReplicaLinks.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ReplicaLinks.java
@@ -11,24 +11,24 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * The connections that a replica opens to others. A peer that is not heard for a while gets a new
- * connection: after a cut, the old one may wait for long before it sends again. Owned by the
- * control thread.
+ * The connections that a replica opens to others. A connection to a silent peer is replaced: after
+ * a network partition, TCP may wait for long before it retransmits on the old one. Not thread-safe:
+ * confined to the control thread.
  */
 final class ReplicaLinks implements AutoCloseable {
   private static final int MAX_QUEUED_FRAMES = 32_768;
-  private static final long SILENT_MS = 1_300;
-  private static final long FORGET_MS = 120_000;
+  private static final long SILENCE_TIMEOUT_MS = 1_300;
+  private static final long PEER_RETENTION_MS = 120_000;
 
   private static final class Link {
     private final FrameLink frames;
-    private long heardAtMs;
-    private long renewedAtMs;
+    private long lastReceivedAtMs;
+    private long reconnectedAtMs;
 
     private Link(FrameLink frames, long nowMs) {
       this.frames = frames;
-      this.heardAtMs = nowMs;
-      this.renewedAtMs = nowMs;
+      this.lastReceivedAtMs = nowMs;
+      this.reconnectedAtMs = nowMs;
     }
   }
 
@@ -52,7 +52,7 @@
     this.threads = threads;
   }
 
-  /** Opens a connection to an address unless there is one, or it is this replica's own. */
+  /** Opens a link to an address, unless there is one or the address is this replica's own. */
   void open(String address, long nowMs) {
     if (!address.equals(ownAddress) && !address.isEmpty()) {
       links.computeIfAbsent(address, a -> new Link(connect(a), nowMs));
@@ -63,10 +63,12 @@
     return FrameLink.open(address, ownAddress, hello, handler, metrics, threads, MAX_QUEUED_FRAMES);
   }
 
+  /** Returns the addresses of all links. */
   List<String> addresses() {
     return List.copyOf(links.keySet());
   }
 
+  /** Sends a message to an address, over a new link if there is none. */
   void send(String address, Message message, long nowMs) {
     open(address, nowMs);
     Link link = links.get(address);
@@ -75,23 +77,27 @@
     }
   }
 
+  /** Sends a message on all links. */
   void sendToAll(Message message) {
     links.values().forEach(link -> link.frames.send(message));
   }
 
-  void heard(String address, long nowMs) {
+  /** Records that a message was received from the replica at an address. */
+  void recordReceived(String address, long nowMs) {
     Link link = links.get(address);
     if (link != null) {
-      link.heardAtMs = nowMs;
+      link.lastReceivedAtMs = nowMs;
     }
   }
 
-  /** Renews the connections to silent peers, and forgets those that were not heard for long. */
-  void renewSilent(long nowMs) {
+  /**
+   * Replaces the connections to silent peers, and removes links to peers that are silent for long.
+   */
+  void reconnectSilent(long nowMs) {
     for (Link link : links.values()) {
-      long since = Math.max(link.heardAtMs, link.renewedAtMs);
-      if (nowMs - since >= SILENT_MS) {
-        link.renewedAtMs = nowMs;
+      long silentSinceMs = Math.max(link.lastReceivedAtMs, link.reconnectedAtMs);
+      if (nowMs - silentSinceMs >= SILENCE_TIMEOUT_MS) {
+        link.reconnectedAtMs = nowMs;
         link.frames.reset();
       }
     }
@@ -99,11 +105,11 @@
         .entrySet()
         .removeIf(
             entry -> {
-              boolean forgotten = nowMs - entry.getValue().heardAtMs >= FORGET_MS;
-              if (forgotten) {
+              boolean expired = nowMs - entry.getValue().lastReceivedAtMs >= PEER_RETENTION_MS;
+              if (expired) {
                 entry.getValue().frames.close();
               }
-              return forgotten;
+              return expired;
             });
   }
 
