--- a/daemon/src/main/java/io/hingehoist/quorum/Reports.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/Reports.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Static helpers that render the applied state for operators, as JSON. */
+/** Static helpers that render the applied state as JSON reports for operators. */
 final class Reports {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -46,7 +46,7 @@
 
   private record Audit(List<AuditRow> rows) {}
 
-  private record ReplicaLine(String replicaId, String address, boolean voter) {}
+  private record ReplicaStatus(String replicaId, String address, boolean voter) {}
 
   private record Status(
       String clusterId,
@@ -57,12 +57,13 @@
       int runningJobs,
       int rememberedJobs,
       long clockMs,
-      List<ReplicaLine> replicas) {}
+      List<ReplicaStatus> replicas) {}
 
   private record Problem(String error) {}
 
   private Reports() {}
 
+  /** Returns a report as JSON, or an object with an error if the report or argument is unknown. */
   static String render(String report, String argument, ControlState state, Replica replica) {
     Object content =
         switch (report) {
@@ -78,7 +79,7 @@
     try {
       return JSON.writeValueAsString(content);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a report can't be written", e);
+      throw new IllegalStateException("can't write a report as JSON", e);
     }
   }
 
@@ -138,7 +139,7 @@
     return new Members(state.membersSince(-1).orElseThrow().version(), members);
   }
 
-  /** The evacuated zones, and those that members name. */
+  /** Returns all evacuated zones and all zones of members. */
   private static Zones zones(ControlState state) {
     EvacuatedZones evacuated = state.evacuatedZones();
     TreeMap<String, Integer> agentsByZone = new TreeMap<>();
@@ -148,19 +149,19 @@
     List<Zone> zones = new ArrayList<>();
     agentsByZone.forEach(
         (zone, agents) -> {
-          String shown = evacuated.zones().contains(zone) ? "evacuated" : "open";
-          zones.add(new Zone(zone, shown, agents));
+          String zoneState = evacuated.zones().contains(zone) ? "evacuated" : "open";
+          zones.add(new Zone(zone, zoneState, agents));
         });
     return new Zones(evacuated.version(), zones);
   }
 
   private static Status status(ControlState state, Replica replica) {
-    List<ReplicaLine> replicas = new ArrayList<>();
+    List<ReplicaStatus> replicas = new ArrayList<>();
     for (ReplicaInfo voter : replica.voters()) {
-      replicas.add(new ReplicaLine(voter.replicaId(), voter.address(), true));
+      replicas.add(new ReplicaStatus(voter.replicaId(), voter.address(), true));
     }
     for (ReplicaInfo learner : replica.learners()) {
-      replicas.add(new ReplicaLine(learner.replicaId(), learner.address(), false));
+      replicas.add(new ReplicaStatus(learner.replicaId(), learner.address(), false));
     }
     return new Status(
         replica.clusterId(),
--- a/daemon/src/main/java/io/hingehoist/quorum/RouteFeed.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/RouteFeed.java
@@ -8,44 +8,44 @@
 import io.hingehoist.wire.MessageSink;
 
 /**
- * Tells owners, part by part, what a replica's newest committed configuration changes for them. The
- * text is turned into routes once, on the event loop, so that the thread of the log goes on.
- * Thread-safe.
+ * Sends owners, in parts, the changes from the routes that they hold to those of the newest
+ * committed configuration. Each configuration is parsed once, on the event loop, so that the
+ * control thread is not blocked. Thread-safe.
  */
 public final class RouteFeed {
-  /** Reads a committed text. */
+  /** Parses committed configurations. */
   @FunctionalInterface
-  public interface Reader {
-    /** Returns the routes of a configuration that was accepted. */
+  public interface Parser {
+    /** Returns the routes of an accepted configuration. */
     RouteTable toRoutes(long version, Bytes configuration);
   }
 
   private final EventLoop loop;
   private final String document;
-  private final Reader reader;
+  private final Parser parser;
 
-  /** Owned by the event loop. */
+  /** Confined to the event loop. */
   private final RouteArchive archive = RouteArchive.create();
 
-  private RouteFeed(EventLoop loop, String document, Reader reader) {
+  private RouteFeed(EventLoop loop, String document, Parser parser) {
     this.loop = loop;
     this.document = document;
-    this.reader = reader;
+    this.parser = parser;
   }
 
-  /** Returns the feed of a document of the log that holds routes. */
-  public static RouteFeed of(EventLoop loop, String document, Reader reader) {
-    return new RouteFeed(loop, document, reader);
+  /** Returns the feed of the document that holds routes. */
+  public static RouteFeed of(EventLoop loop, String document, Parser parser) {
+    return new RouteFeed(loop, document, parser);
   }
 
-  /** Takes a committed document. Requests that come after are answered from it. */
+  /** Adds a committed document, from which later requests are answered. */
   void onDocument(String name, long version, Bytes content) {
     if (name.equals(document)) {
-      loop.execute(() -> archive.add(reader.toRoutes(version, content)));
+      loop.execute(() -> archive.add(parser.toRoutes(version, content)));
     }
   }
 
-  /** Answers a request, unless nothing newer is known than what the sender holds. */
+  /** Responds to a request, unless the sender already holds the newest version. */
   void onRequest(MessageSink sender, RoutesRequest request) {
     loop.execute(() -> archive.answer(request).ifPresent(sender::send));
   }
--- a/daemon/src/main/java/io/hingehoist/quorum/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A control replica as part of a process: the control thread, its connections and its journal.
+ * The process of a control replica: the control thread, its connections and its journal.
  *
- * <p>Begin with {@link io.hingehoist.quorum.ControlNode}. The decisions are in {@code
+ * <p>Start with {@link io.hingehoist.quorum.ControlNode}. The decisions are made by {@code
  * io.hingehoist.replication} and {@code io.hingehoist.control}.
  */
 package io.hingehoist.quorum;
--- a/daemon/src/main/java/io/hingehoist/wire/Addresses.java
+++ b/daemon/src/main/java/io/hingehoist/wire/Addresses.java
@@ -6,25 +6,25 @@
 import java.net.Socket;
 import java.net.UnknownHostException;
 
-/** Static helpers for addresses of the form IP number and port. */
+/** Static helpers for addresses that consist of an IP address and a port. */
 public final class Addresses {
   private Addresses() {}
 
-  /** Returns the socket address; an IP number is never looked up in a name service. */
+  /** Returns the socket address. No name service is called for a numeric IP address. */
   public static InetSocketAddress toSocketAddress(String address) {
     try {
       return new InetSocketAddress(InetAddress.getByName(host(address)), port(address));
     } catch (UnknownHostException e) {
-      throw new IllegalArgumentException("not an IP number and port: " + address, e);
+      throw new IllegalArgumentException("not an IP address and port: " + address, e);
     }
   }
 
-  /** Returns the address to open: the first of two unless it is empty. */
-  public static String firstNonEmpty(String preferred, String otherwise) {
-    return preferred.isEmpty() ? otherwise : preferred;
+  /** Returns the preferred address unless it is empty, and the fallback otherwise. */
+  public static String firstNonEmpty(String preferred, String fallback) {
+    return preferred.isEmpty() ? fallback : preferred;
   }
 
-  /** Returns a socket connected to one address from the IP number of another. */
+  /** Returns a socket that is bound to the IP address of one address and connected to another. */
   public static Socket connect(String to, String from, int timeoutMs) throws IOException {
     Socket socket = new Socket();
     try {
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Returns the part before the port. */
+  /** Returns the IP address, without the port. */
   public static String host(String address) {
     return address.substring(0, address.lastIndexOf(':'));
   }
--- a/daemon/src/main/java/io/hingehoist/wire/FrameConnection.java
+++ b/daemon/src/main/java/io/hingehoist/wire/FrameConnection.java
@@ -17,16 +17,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * One open connection: a thread that reads frames and one that writes them. Thread-safe.
+ * A connection with one thread that reads frames and one that writes them. Thread-safe.
  *
- * <p>A frame that is too long or not a message closes the connection and is counted. So does a peer
- * that reads so slowly that the queue fills up: it has to catch up on a new connection.
+ * <p>A frame that is too long or can't be decoded is counted and closes the connection. If the peer
+ * reads so slowly that the send queue fills up, the connection is closed, and the peer has to
+ * reconnect and catch up.
  */
 public final class FrameConnection implements MessageSink, AutoCloseable {
-  /** The version of the messages; processes of different versions do not talk to each other. */
+  /** The version of the protocol; processes with different versions can't communicate. */
   public static final int PROTOCOL_VERSION = 1;
 
-  /** The longest frame, in bytes. */
+  /** The maximum length of a frame, in bytes. */
   public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
   private static final int BUFFER_BYTES = 8 * 1024;
@@ -36,11 +37,11 @@
   private final Socket socket;
   private final FrameHandler handler;
   private final Metrics metrics;
-  private final BlockingQueue<Message> outgoing;
+  private final BlockingQueue<Message> sendQueue;
   private final AtomicBoolean closed = new AtomicBoolean();
   private final Thread reader;
   private final Thread writer;
-  private volatile long heardAtMs = nowMs();
+  private volatile long lastReceivedAtMs = nowMs();
 
   private FrameConnection(
       Socket socket,
@@ -51,12 +52,12 @@
     this.socket = socket;
     this.handler = handler;
     this.metrics = metrics;
-    this.outgoing = new ArrayBlockingQueue<>(maxQueuedFrames);
+    this.sendQueue = new ArrayBlockingQueue<>(maxQueuedFrames);
     this.reader = threads.newThread(this::readFrames);
     this.writer = threads.newThread(this::writeFrames);
   }
 
-  /** Takes over a connected socket and starts to read and write. */
+  /** Starts to read from and write to a connected socket, which the connection then owns. */
   public static FrameConnection start(
       Socket socket,
       FrameHandler handler,
@@ -72,17 +73,17 @@
     return connection;
   }
 
-  /** Returns the steady clock of {@link #heardAtMs}, in milliseconds. */
+  /** Returns the time of the monotonic clock of {@link #lastReceivedAtMs}, in milliseconds. */
   static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Returns when the last frame came, or when the connection was taken over. */
-  long heardAtMs() {
-    return heardAtMs;
+  /** Returns when the last frame was received, or if none was, when the connection was created. */
+  long lastReceivedAtMs() {
+    return lastReceivedAtMs;
   }
 
-  /** Returns a number that no other connection of this process has. */
+  /** Returns an id that is unique among the connections of this process. */
   public long id() {
     return id;
   }
@@ -92,13 +93,13 @@
     return !closed.get();
   }
 
-  /** Queues a message; returns whether it may arrive. A full queue closes the connection. */
+  /** Queues a message, or closes the connection if the queue is full. */
   @Override
   public boolean send(Message message) {
     if (closed.get()) {
       return false;
     }
-    if (!outgoing.offer(message)) {
+    if (!sendQueue.offer(message)) {
       close();
       return false;
     }
@@ -123,29 +124,31 @@
     int length = in.readInt();
     if (length <= 0 || length > MAX_FRAME_BYTES) {
       metrics.countBadFrame();
-      throw new IOException("frame of " + length + " bytes, allowed 1 to " + MAX_FRAME_BYTES);
+      throw new IOException(
+          "frame length: value " + length + " is not allowed; allowed: 1 to " + MAX_FRAME_BYTES);
     }
     Message message = decode(readBody(in, length));
-    heardAtMs = nowMs();
+    lastReceivedAtMs = nowMs();
     metrics.countReceived(message, length);
     if (message instanceof KeepAlive keepAlive) {
-      answer(keepAlive);
+      answerKeepAlive(keepAlive);
     } else {
       handler.onMessage(this, message);
     }
   }
 
-  private void answer(KeepAlive keepAlive) {
+  private void answerKeepAlive(KeepAlive keepAlive) {
     if (keepAlive.asks()) {
       send(new KeepAlive(false));
     }
   }
 
-  /** Reads in pieces, so that a length alone makes nobody set memory aside. */
+  /** Reads a body in pieces, so that a length without a body does not cause a large allocation. */
   private static Bytes readBody(DataInputStream in, int length) throws IOException {
     byte[] body = in.readNBytes(length);
     if (body.length < length) {
-      throw new IOException("the connection ended within a frame");
+      throw new IOException(
+          "connection closed within a frame: got " + body.length + " of " + length + " bytes");
     }
     return Bytes.copyOf(body);
   }
@@ -163,17 +166,17 @@
     try (DataOutputStream out =
         new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), BUFFER_BYTES))) {
       while (!closed.get()) {
-        Message message = outgoing.take();
+        Message message = sendQueue.take();
         while (message != null) {
           writeFrame(out, message);
-          message = outgoing.poll();
+          message = sendQueue.poll();
         }
         out.flush();
       }
     } catch (IOException e) {
       close();
     } catch (InterruptedException e) {
-      // Closed by close().
+      // Interrupted by close().
     }
   }
 
@@ -184,7 +187,7 @@
     metrics.countSent(message, body.size());
   }
 
-  /** Closes the connection; what is queued is dropped. */
+  /** Closes the connection and drops queued messages. */
   @Override
   public void close() {
     if (!closed.compareAndSet(false, true)) {
@@ -194,7 +197,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Nothing is left to do for a socket that can't be closed.
+      // There is nothing left to do for a socket that can't be closed.
     }
   }
 }
--- a/daemon/src/main/java/io/hingehoist/wire/FrameHandler.java
+++ b/daemon/src/main/java/io/hingehoist/wire/FrameHandler.java
@@ -2,12 +2,12 @@
 
 import io.hingehoist.message.Message;
 
-/** Takes what a {@link FrameConnection} brings, on that connection's reader thread. */
+/** Handles the events of a {@link FrameConnection}. Called on its reader thread. */
 public interface FrameHandler {
 
-  /** Takes a message. It must not block for long: the messages after it wait. */
+  /** Called for each message. It must not block for long, as it delays later messages. */
   void onMessage(FrameConnection connection, Message message);
 
-  /** Notes that the connection is closed. Called once. */
+  /** Called once, when the connection has closed. */
   void onClosed(FrameConnection connection);
 }
--- a/daemon/src/main/java/io/hingehoist/wire/FrameLink.java
+++ b/daemon/src/main/java/io/hingehoist/wire/FrameLink.java
@@ -12,22 +12,25 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Keeps a connection to one address open, and opens it anew when it breaks or falls silent.
+ * Keeps a connection to one address open, and replaces it when it breaks or falls silent.
  * Thread-safe.
  *
- * <p>An open connection may carry nothing any more without a word, and what is heard of the peer on
- * another one says nothing of this one. So it asks for a word where nothing else is heard.
+ * <p>A connection may stop delivering data without an error, and messages from the peer on another
+ * connection do not show that this one works. So a keep-alive is requested on a connection on which
+ * nothing else is received.
  */
 public final class FrameLink implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 400;
-  private static final long RETRY_PAUSE_MS = 100;
-  private static final long CHECK_PAUSE_MS = 500;
+  private static final long RETRY_DELAY_MS = 100;
+  private static final long CHECK_INTERVAL_MS = 500;
 
-  /** The time without a frame after which the peer is asked for one: one small frame a second. */
-  private static final long ASK_AFTER_MS = 1_000;
+  /**
+   * The time without a received frame after which keep-alives are requested, about one a second.
+   */
+  private static final long KEEP_ALIVE_AFTER_MS = 1_000;
 
-  /** The same after which the connection is given up: two questions had no answer. */
-  private static final long SILENT_AFTER_MS = 2_300;
+  /** The time without a received frame after which two keep-alives are missing. */
+  private static final long SILENCE_TIMEOUT_MS = 2_300;
 
   private final String address;
   private final String ownAddress;
@@ -61,7 +64,7 @@
   /**
    * Opens a link.
    *
-   * @param ownAddress the address whose IP number the connections come from
+   * @param ownAddress the address with the source IP address of connections
    * @param hello the first message on each connection
    */
   public static FrameLink open(
@@ -78,7 +81,7 @@
     return link;
   }
 
-  /** Returns the address that the link leads to. */
+  /** Returns the address that the link connects to. */
   public String address() {
     return address;
   }
@@ -88,20 +91,20 @@
       FrameConnection connection = current.get();
       boolean open = connection != null && connection.isOpen();
       if (open) {
-        check(connection);
+        checkSilence(connection);
       } else {
         connect();
       }
-      // A connection that breaks wakes this thread.
-      LockSupport.parkNanos((open ? CHECK_PAUSE_MS : RETRY_PAUSE_MS) * 1_000_000);
+      // This thread is unparked when the connection breaks.
+      LockSupport.parkNanos((open ? CHECK_INTERVAL_MS : RETRY_DELAY_MS) * 1_000_000);
     }
   }
 
-  private static void check(FrameConnection connection) {
-    long unheardMs = FrameConnection.nowMs() - connection.heardAtMs();
-    if (unheardMs >= SILENT_AFTER_MS) {
+  private static void checkSilence(FrameConnection connection) {
+    long silentForMs = FrameConnection.nowMs() - connection.lastReceivedAtMs();
+    if (silentForMs >= SILENCE_TIMEOUT_MS) {
       connection.close();
-    } else if (unheardMs >= ASK_AFTER_MS) {
+    } else if (silentForMs >= KEEP_ALIVE_AFTER_MS) {
       connection.send(new KeepAlive(true));
     }
   }
@@ -110,18 +113,18 @@
     try {
       Socket socket = Addresses.connect(address, ownAddress, CONNECT_TIMEOUT_MS);
       FrameConnection connection =
-          FrameConnection.start(socket, wakingHandler(), metrics, threads, maxQueuedFrames);
+          FrameConnection.start(socket, unparkingHandler(), metrics, threads, maxQueuedFrames);
       connection.send(hello);
       current.set(connection);
       if (closed) {
         connection.close();
       }
     } catch (IOException e) {
-      // The peer is away; the next round tries again.
+      // The peer is not reachable; keepConnected() retries.
     }
   }
 
-  private FrameHandler wakingHandler() {
+  private FrameHandler unparkingHandler() {
     return new FrameHandler() {
       @Override
       public void onMessage(FrameConnection connection, Message message) {
@@ -141,7 +144,7 @@
     return Optional.ofNullable(current.get()).filter(FrameConnection::isOpen);
   }
 
-  /** Gives the connection up, so that a new one is opened: nothing is heard from the peer. */
+  /** Closes a silent connection, so that a new one is opened. */
   public void reset() {
     FrameConnection connection = current.get();
     if (connection != null) {
@@ -149,13 +152,13 @@
     }
   }
 
-  /** Sends a message; returns whether it may arrive. */
+  /** Queues a message if a connection is open; returns false if the message is dropped. */
   public boolean send(Message message) {
     FrameConnection connection = current.get();
     return connection != null && connection.send(message);
   }
 
-  /** Closes the connection for good. */
+  /** Closes the connection and opens no further ones. */
   @Override
   public void close() {
     closed = true;
--- a/daemon/src/main/java/io/hingehoist/wire/FrameServer.java
+++ b/daemon/src/main/java/io/hingehoist/wire/FrameServer.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ThreadFactory;
 import java.util.function.Supplier;
 
-/** Takes connections on one address. Thread-safe. */
+/** Accepts connections on one address. Thread-safe. */
 public final class FrameServer implements AutoCloseable {
   private static final int BACKLOG = 1_024;
 
@@ -36,7 +36,7 @@
   /**
    * Opens a server.
    *
-   * @param handlers makes the handler of each new connection
+   * @param handlers supplies a handler for each new connection
    */
   public static FrameServer open(
       String address,
@@ -58,28 +58,29 @@
       try {
         Socket socket = listener.accept();
         connections.removeIf(connection -> !connection.isOpen());
-        take(FrameConnection.start(socket, handlers.get(), metrics, threads, maxQueuedFrames));
+        addConnection(
+            FrameConnection.start(socket, handlers.get(), metrics, threads, maxQueuedFrames));
       } catch (IOException e) {
-        // The listener was closed, or one connection broke before it began.
+        // The listener was closed, or a connection broke before it was set up.
       }
     }
   }
 
-  private void take(FrameConnection connection) {
+  private void addConnection(FrameConnection connection) {
     connections.add(connection);
-    // One that is taken while this server closes would look open to its peer for good.
+    // A connection accepted while the server closes would stay open, without a process behind it.
     if (listener.isClosed()) {
       connection.close();
     }
   }
 
-  /** Stops taking connections and closes the open ones. */
+  /** Stops accepting connections and closes the open ones. */
   @Override
   public void close() {
     try {
       listener.close();
     } catch (IOException e) {
-      // Nothing is left to do for a socket that can't be closed.
+      // There is nothing left to do for a socket that can't be closed.
     }
     connections.forEach(FrameConnection::close);
   }
--- a/daemon/src/main/java/io/hingehoist/wire/MessageSink.java
+++ b/daemon/src/main/java/io/hingehoist/wire/MessageSink.java
@@ -2,10 +2,10 @@
 
 import io.hingehoist.message.Message;
 
-/** Where messages to one peer go. Thread-safe. */
+/** The sending end of a channel to one peer. Thread-safe. */
 public interface MessageSink {
 
-  /** Queues a message; returns whether it may arrive. */
+  /** Queues a message; returns false if it is dropped. True does not guarantee delivery. */
   boolean send(Message message);
 
   /** Returns whether messages can still be sent. */
--- a/daemon/src/test/java/io/hingehoist/log/DecisionLogTest.java
+++ b/daemon/src/test/java/io/hingehoist/log/DecisionLogTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  public void writesOneLineOfJsonADecision() {
+  public void writesOneJsonLinePerDecision() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DecisionLog log = DecisionLog.start("n", new PrintStream(bytes, true, StandardCharsets.UTF_8));
     log.write(decision(1));
@@ -32,23 +32,26 @@
     assertEquals(line.lines().filter(l -> !l.isBlank()).count(), 1);
   }
 
-  /** The writer takes the first line and waits for more; a close in that time ended without it. */
+  /**
+   * Guards against the loss of a line when the log closes while the writer thread holds its first
+   * line and waits for further ones.
+   */
   @Test
-  public void closingWritesTheLineThatTheWriterHasTaken() {
+  public void closeWritesTheLineThatTheWriterHolds() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DecisionLog log = DecisionLog.start("n", new PrintStream(bytes, true, StandardCharsets.UTF_8));
     log.write(decision(1));
-    // Lets the writer take the line; where it has not, the close finds it waiting.
+    // Gives the writer time to remove the line; if it has not, close() finds the line in the queue.
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     log.close();
     assertTrue(bytes.toString(StandardCharsets.UTF_8).contains("\"job\":\"j1\""));
   }
 
-  /** A reader that takes nothing holds up the writer thread, and nobody else. */
+  /** Guards against callers that block because nothing reads the log: only the writer may block. */
   @Test
-  public void aBurstBeforeAReaderThatStandsStillIsDroppedAndCounted() throws Exception {
+  public void aBurstWithoutAReaderIsDroppedAndCounted() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    OutputStream stuck =
+    OutputStream blocked =
         new OutputStream() {
           @Override
           public void write(int value) {
@@ -68,7 +71,8 @@
             }
           }
         };
-    DecisionLog log = DecisionLog.start("n", new PrintStream(stuck, true, StandardCharsets.UTF_8));
+    DecisionLog log =
+        DecisionLog.start("n", new PrintStream(blocked, true, StandardCharsets.UTF_8));
     for (int i = 0; i < BURST; i++) {
       log.write(decision(i));
     }
--- a/daemon/src/test/java/io/hingehoist/net/PeerLinkTest.java
+++ b/daemon/src/test/java/io/hingehoist/net/PeerLinkTest.java
@@ -24,11 +24,11 @@
 import org.testng.annotations.Test;
 
 public final class PeerLinkTest {
-  private static final long SILENT_AFTER_MS = 1_300;
+  private static final long SILENCE_TIMEOUT_MS = 1_300;
   private static final long TICK_MS = 50;
 
-  /** On loopback another connection would be there within a few milliseconds. */
-  private static final long NO_OTHER_WITHIN_MS = 300;
+  /** On loopback, another connection would open within a few milliseconds. */
+  private static final long NO_CONNECTION_WITHIN_MS = 300;
 
   private static final Hello HELLO = new Hello(Role.AGENT, "h", 1, "", 1);
 
@@ -48,8 +48,8 @@
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       address = "127.0.0.1:" + socket.getLocalPort();
     }
-    // What the connections of an earlier test still bring goes to the queues of that test.
-    Recorder recorder = new Recorder(received, accepted, closed);
+    // Late messages on connections of an earlier test go to the queues of that test.
+    RecordingHandler recorder = new RecordingHandler(received, accepted, closed);
     server = PeerServer.open(loop, address, () -> recorder, Metrics.create());
   }
 
@@ -59,7 +59,7 @@
     loop.close();
   }
 
-  private record Recorder(
+  private record RecordingHandler(
       BlockingQueue<Message> messages,
       BlockingQueue<PeerChannel> opened,
       BlockingQueue<PeerChannel> ended)
@@ -80,7 +80,7 @@
     }
   }
 
-  private static final class Silent implements PeerHandler {
+  private static final class SendOnceHandler implements PeerHandler {
     @Override
     public void onOpen(PeerChannel channel) {
       channel.send(new OwnerBeat(7, true));
@@ -93,7 +93,7 @@
     public void onClosed(PeerChannel channel) {}
   }
 
-  private PeerLink link() throws Exception {
+  private PeerLink openLink() throws Exception {
     var opened = new CompletableFuture<PeerLink>();
     loop.execute(
         () ->
@@ -102,17 +102,17 @@
                     loop,
                     address,
                     "127.0.0.1:1",
-                    SILENT_AFTER_MS,
+                    SILENCE_TIMEOUT_MS,
                     () -> HELLO,
-                    new Silent(),
+                    new SendOnceHandler(),
                     Metrics.create())));
     return opened.get(10, TimeUnit.SECONDS);
   }
 
   @Test
-  public void saysHelloFirstAndConnectsAgainAfterABreak() throws Exception {
-    PeerLink link = link();
-    for (int round = 0; round < 2; round++) {
+  public void sendsHelloFirstAndReconnects() throws Exception {
+    PeerLink link = openLink();
+    for (int attempt = 0; attempt < 2; attempt++) {
       assertEquals(received.poll(10, TimeUnit.SECONDS), HELLO);
       assertEquals(received.poll(10, TimeUnit.SECONDS), new OwnerBeat(7, true));
       PeerChannel channel = accepted.poll(10, TimeUnit.SECONDS);
@@ -122,68 +122,68 @@
   }
 
   @Test
-  public void givesUpAConnectionOnWhichNothingIsHeard() throws Exception {
-    PeerLink link = link();
+  public void replacesASilentConnection() throws Exception {
+    PeerLink link = openLink();
     assertTrue(accepted.poll(10, TimeUnit.SECONDS) != null);
     assertEquals(received.poll(10, TimeUnit.SECONDS), HELLO);
     assertEquals(received.poll(10, TimeUnit.SECONDS), new OwnerBeat(7, true));
-    loop.execute(() -> tickThrough(link, SILENT_AFTER_MS + TICK_MS));
+    loop.execute(() -> tickFor(link, SILENCE_TIMEOUT_MS + TICK_MS));
     assertTrue(closed.poll(10, TimeUnit.SECONDS) != null);
     assertEquals(received.poll(10, TimeUnit.SECONDS), HELLO);
     loop.execute(link::close);
   }
 
-  private static void tickThrough(PeerLink link, long forMs) {
-    long fromMs = EventLoop.nowMs();
-    for (long passedMs = 0; passedMs <= forMs; passedMs += TICK_MS) {
-      link.onTick(fromMs + passedMs);
+  private static void tickFor(PeerLink link, long durationMs) {
+    long startMs = EventLoop.nowMs();
+    for (long elapsedMs = 0; elapsedMs <= durationMs; elapsedMs += TICK_MS) {
+      link.onTick(startMs + elapsedMs);
     }
   }
 
   @Test
-  public void aProcessThatStoodStillDoesNotTakeItsConnectionsForSilent() throws Exception {
-    PeerLink link = link();
+  public void connectionsAreNotSilentAfterAPauseOfThisProcess() throws Exception {
+    PeerLink link = openLink();
     assertTrue(accepted.poll(10, TimeUnit.SECONDS) != null);
-    loop.execute(() -> link.onTick(EventLoop.nowMs() + 10 * SILENT_AFTER_MS));
+    loop.execute(() -> link.onTick(EventLoop.nowMs() + 10 * SILENCE_TIMEOUT_MS));
     CompletableFuture<Boolean> open = new CompletableFuture<>();
     loop.execute(() -> open.complete(link.channel().isPresent()));
     assertTrue(open.get(10, TimeUnit.SECONDS));
-    // A connection is replaced before it is closed, so that it is open says little alone.
-    assertNull(accepted.poll(NO_OTHER_WITHIN_MS, TimeUnit.MILLISECONDS));
+    // A replaced connection stays open until the new one opens, so the check above is not enough.
+    assertNull(accepted.poll(NO_CONNECTION_WITHIN_MS, TimeUnit.MILLISECONDS));
     loop.execute(link::close);
   }
 
   /**
-   * The first connections of a process that was still starting fell silent. All later ones kept the
-   * longer time, so that a session's lease was over before its silent connection was replaced.
+   * Guards against a time-out that stays longer after the first connections of a starting process
+   * fell silent: a session's lease would then expire before its silent connection is replaced.
    */
   @Test
-  public void aSteadyConnectionIsGivenTheUsualTimeAgain() throws Exception {
-    PeerLink link = link();
+  public void aSteadyConnectionHasTheUsualTimeoutAgain() throws Exception {
+    PeerLink link = openLink();
     assertTrue(accepted.poll(10, TimeUnit.SECONDS) != null);
-    loop.execute(() -> tickThrough(link, SILENT_AFTER_MS + TICK_MS));
+    loop.execute(() -> tickFor(link, SILENCE_TIMEOUT_MS + TICK_MS));
     PeerChannel second = accepted.poll(10, TimeUnit.SECONDS);
     assertEquals(received.poll(10, TimeUnit.SECONDS), HELLO);
     assertEquals(received.poll(10, TimeUnit.SECONDS), new OwnerBeat(7, true));
     assertEquals(received.poll(10, TimeUnit.SECONDS), HELLO);
-    assertEquals(onLoop(link::silentAfterMs), Long.valueOf(2 * SILENT_AFTER_MS));
+    assertEquals(onLoop(link::silenceTimeoutMs), Long.valueOf(2 * SILENCE_TIMEOUT_MS));
     loop.scheduleRepeating(() -> second.send(new OwnerBeat(8, true)), TICK_MS);
-    long giveUpAtMs = EventLoop.nowMs() + TimeUnit.SECONDS.toMillis(20);
-    while (onLoop(link::silentAfterMs) != SILENT_AFTER_MS) {
-      assertTrue(EventLoop.nowMs() < giveUpAtMs, "the time is still longer");
+    long deadlineMs = EventLoop.nowMs() + TimeUnit.SECONDS.toMillis(20);
+    while (onLoop(link::silenceTimeoutMs) != SILENCE_TIMEOUT_MS) {
+      assertTrue(EventLoop.nowMs() < deadlineMs, "the time-out is still longer than usual");
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICK_MS));
     }
     loop.execute(link::close);
   }
 
-  private <T> T onLoop(Supplier<T> question) throws Exception {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.execute(() -> answer.complete(question.get()));
-    return answer.get(10, TimeUnit.SECONDS);
+  private <T> T onLoop(Supplier<T> value) throws Exception {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.execute(() -> result.complete(value.get()));
+    return result.get(10, TimeUnit.SECONDS);
   }
 
   @Test
-  public void saysSoWhenNobodyListens() throws Exception {
+  public void reportsARefusedConnection() throws Exception {
     CompletableFuture<String> refused = new CompletableFuture<>();
     server.close();
     loop.execute(
@@ -192,14 +192,14 @@
                 loop,
                 address,
                 "127.0.0.1:1",
-                SILENT_AFTER_MS,
+                SILENCE_TIMEOUT_MS,
                 () -> HELLO,
-                new Refusal(refused),
+                new RefusalHandler(refused),
                 Metrics.create()));
     assertEquals(refused.get(10, TimeUnit.SECONDS), "refused");
   }
 
-  private record Refusal(CompletableFuture<String> refused) implements PeerHandler {
+  private record RefusalHandler(CompletableFuture<String> refused) implements PeerHandler {
     @Override
     public void onOpen(PeerChannel channel) {
       refused.complete("open");
@@ -218,7 +218,7 @@
   }
 
   @Test
-  public void garbageClosesTheConnection() throws Exception {
+  public void invalidFrameClosesTheConnection() throws Exception {
     int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.getOutputStream().write(new byte[] {0, 0, 0, 3, 1, 2, 3});
--- a/daemon/src/test/java/io/hingehoist/net/ResetsTest.java
+++ b/daemon/src/test/java/io/hingehoist/net/ResetsTest.java
@@ -13,13 +13,13 @@
 public final class ResetsTest {
 
   @Test
-  public void aConnectionThatIsClosedBelowCanBeReset() throws Exception {
+  public void aChannelWithAClosedSocketCanBeReset() throws Exception {
     AtomicReference<Throwable> failure = new AtomicReference<>();
     try (EventLoop loop = EventLoop.start(failure::set)) {
-      SocketChannel below = SocketChannel.open();
-      NioSocketChannel channel = new NioSocketChannel(null, below);
+      SocketChannel socket = SocketChannel.open();
+      NioSocketChannel channel = new NioSocketChannel(null, socket);
       loop.group().register(channel).sync();
-      below.close();
+      socket.close();
       CompletableFuture<Boolean> done = new CompletableFuture<>();
       loop.execute(
           () -> {
--- a/daemon/src/test/java/io/hingehoist/owner/HostSessionsTest.java
+++ b/daemon/src/test/java/io/hingehoist/owner/HostSessionsTest.java
@@ -29,11 +29,11 @@
 public final class HostSessionsTest {
   private static final String HOST = "h";
   private static final long LEASE_MS = 650;
-  private static final long PATIENCE_S = 10;
+  private static final long TIMEOUT_S = 10;
 
-  private record Lost(String hostId, boolean silent, long leaseSinceMs) {}
+  private record Lost(String hostId, boolean mayHoldLease, long leaseRenewedAtMs) {}
 
-  private final class Recorder implements HostSessions.Listener {
+  private final class RecordingListener implements HostSessions.Listener {
     @Override
     public void onOpened(String hostId, SessionOpened message) {
       opened.add(message);
@@ -51,15 +51,15 @@
     public void onResumed(String hostId, long suspendedForMs, int repeatedMessages) {}
 
     @Override
-    public void onLost(String hostId, boolean silent, long leaseSinceMs) {
-      lost.add(new Lost(hostId, silent, leaseSinceMs));
+    public void onLost(String hostId, boolean mayHoldLease, long leaseRenewedAtMs) {
+      lost.add(new Lost(hostId, mayHoldLease, leaseRenewedAtMs));
     }
 
     @Override
     public void onAnnounce(Peer peer) {}
 
     @Override
-    public void onProbe(long number, Consumer<Message> answers) {}
+    public void onProbe(long number, Consumer<Message> replies) {}
 
     @Override
     public boolean follows(String hostId) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** A host that opens a session and says no more. */
+  /** A host that opens a session and then sends nothing. */
   private record Host(long sessionId, BlockingQueue<Long> closed) implements PeerHandler {
     @Override
     public void onOpen(PeerChannel channel) {
@@ -101,7 +101,8 @@
     ownerAddress = freeAddress();
     Peer self = new Peer("o", Role.ENTRY, ownerAddress, 1, "z");
     sessions =
-        new HostSessions(loop, self, ownerAddress, LEASE_MS, Metrics.create(), new Recorder());
+        new HostSessions(
+            loop, self, ownerAddress, LEASE_MS, Metrics.create(), new RecordingListener());
   }
 
   @AfterMethod
@@ -123,39 +124,42 @@
         loop, ownerAddress, "127.0.0.1:1", LEASE_MS, () -> hello, host, Metrics.create());
   }
 
-  /** Runs of the newer session were ordered elsewhere while they went on. */
+  /**
+   * Guards against a delayed message that replaces a newer session: the owner would order the runs
+   * of the newer session again elsewhere while they are in progress.
+   */
   @Test
-  public void aSessionThatIsOpenedLateDoesNotReplaceANewerOne() throws Exception {
+  public void aDelayedSessionDoesNotReplaceANewerOne() throws Exception {
     PeerLink newer = openSession(2);
-    assertNotNull(opened.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertNotNull(opened.poll(TIMEOUT_S, TimeUnit.SECONDS));
     PeerLink late = openSession(1);
-    assertEquals(closed.poll(PATIENCE_S, TimeUnit.SECONDS), Long.valueOf(1));
+    assertEquals(closed.poll(TIMEOUT_S, TimeUnit.SECONDS), Long.valueOf(1));
     assertTrue(lost.isEmpty());
     loop.execute(newer::close);
     loop.execute(late::close);
   }
 
-  private void openAndBreakOffSession() throws Exception {
+  private void openSessionAndDisconnect() throws Exception {
     PeerLink link = openSession(1);
-    assertNotNull(opened.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertNotNull(opened.poll(TIMEOUT_S, TimeUnit.SECONDS));
     loop.execute(link::close);
   }
 
   /**
-   * A task ran twice: a host that refused a connection but went on was given less time than its
-   * lease of the owner takes to end.
+   * Guards against tasks that run twice. It happens if the owner waits for less than the rest of
+   * its lease when a host refuses a connection, as the host's process may still be alive.
    */
   @Test
   public void aHostThatRefusesAConnectionMayStillHoldItsLease() throws Exception {
-    openAndBreakOffSession();
-    Long suspended = suspendedAtMs.poll(PATIENCE_S, TimeUnit.SECONDS);
+    openSessionAndDisconnect();
+    Long suspended = suspendedAtMs.poll(TIMEOUT_S, TimeUnit.SECONDS);
     assertNotNull(suspended);
     Peer refusing = new Peer(HOST, Role.AGENT, freeAddress(), 1, "z");
-    loop.execute(() -> sessions.knock(List.of(refusing), EventLoop.nowMs()));
-    Lost session = lost.poll(PATIENCE_S, TimeUnit.SECONDS);
+    loop.execute(() -> sessions.announceToMissing(List.of(refusing), EventLoop.nowMs()));
+    Lost session = lost.poll(TIMEOUT_S, TimeUnit.SECONDS);
     assertNotNull(session);
     assertEquals(session.hostId(), HOST);
-    assertTrue(session.silent());
-    assertTrue(session.leaseSinceMs() <= suspended, session + " suspended at " + suspended);
+    assertTrue(session.mayHoldLease());
+    assertTrue(session.leaseRenewedAtMs() <= suspended, session + " suspended at " + suspended);
   }
 }
--- a/daemon/src/test/java/io/hingehoist/quorum/FiveReplicasTest.java
+++ b/daemon/src/test/java/io/hingehoist/quorum/FiveReplicasTest.java
@@ -37,10 +37,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Five replicas that find each other through three seeds, over real connections on loopback. */
+/** Tests five replicas that discover each other through three seed addresses, over loopback. */
 public final class FiveReplicasTest {
   private static final int REPLICAS = 5;
-  private static final int LOSSES_BORNE = 2;
+  private static final int TOLERATED_LOSSES = 2;
   private static final long TIME_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(90);
   private static final Bytes ONE = Bytes.copyOf(new byte[] {1});
   private static final Bytes TWO = Bytes.copyOf(new byte[] {2});
@@ -48,17 +48,17 @@
   private final List<Optional<ControlNode>> replicas = new ArrayList<>();
   private Path folder;
   private int port;
-  private long beganAtNanos;
+  private long startedAtNanos;
   private EventLoop loop;
 
   @BeforeMethod
-  public void prepare() throws IOException {
+  public void setUp() throws IOException {
     folder = Files.createTempDirectory(Path.of("target"), "five-replicas");
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.97.1"))) {
       port = socket.getLocalPort();
     }
     loop = EventLoop.start(Throwable::printStackTrace);
-    beganAtNanos = System.nanoTime();
+    startedAtNanos = System.nanoTime();
     replicas.clear();
     for (int i = 0; i < REPLICAS; i++) {
       replicas.add(Optional.empty());
@@ -74,7 +74,7 @@
   }
 
   private boolean isTimeLeft() {
-    return System.nanoTime() - beganAtNanos < TIME_LIMIT_NANOS;
+    return System.nanoTime() - startedAtNanos < TIME_LIMIT_NANOS;
   }
 
   private void close(int index) {
@@ -90,7 +90,7 @@
     return folder.resolve("r" + index);
   }
 
-  private void found() throws IOException {
+  private void foundCluster() throws IOException {
     Journal.found(dataFolder(0), Disk.real(), "c", address(0), 1);
   }
 
@@ -120,7 +120,7 @@
                     "listenAddress",
                     address(index),
                     "lossesBorne",
-                    String.valueOf(LOSSES_BORNE),
+                    String.valueOf(TOLERATED_LOSSES),
                     "electionTimeoutMs",
                     "400",
                     "heartbeatMs",
@@ -144,39 +144,41 @@
         given.getOrDefault(name, FieldSpecs.find(specs, name).orElseThrow().defaultValue());
   }
 
-  private Result ask(int index, Consumer<AskedOrders> request) throws Exception {
+  private Result submit(int index, Consumer<PendingOrder> request) throws Exception {
     CompletableFuture<Result> result = new CompletableFuture<>();
     ControlNode replica = replicas.get(index).orElseThrow();
     loop.execute(
         () ->
             request.accept(
-                new AskedOrders(LocalOrders.of(replica, loop, "configuration"), result)));
+                new PendingOrder(LocalOrders.of(replica, loop, "configuration"), result)));
     return result.get(30, TimeUnit.SECONDS);
   }
 
-  private record AskedOrders(LocalOrders log, CompletableFuture<Result> result) {}
+  private record PendingOrder(LocalOrders orders, CompletableFuture<Result> result) {}
 
   private Result publish(int index, long version, Bytes content) throws Exception {
-    return ask(index, asked -> asked.log().publish(version, content, asked.result()::complete));
+    return submit(
+        index, order -> order.orders().publish(version, content, order.result()::complete));
   }
 
   private Result read(int index) throws Exception {
-    return ask(index, asked -> asked.log().readNewest(asked.result()::complete));
+    return submit(index, order -> order.orders().readNewest(order.result()::complete));
   }
 
-  private Result evacuateSomewhere(String zone) throws Exception {
+  private Result evacuateAtAnyReplica(String zone) throws Exception {
     for (int i = 0; isTimeLeft(); i++) {
-      List<Integer> indexes = running();
+      List<Integer> indexes = runningReplicas();
       int index = indexes.get(i % indexes.size());
-      Result result = ask(index, asked -> asked.log().evacuate(zone, asked.result()::complete));
+      Result result =
+          submit(index, order -> order.orders().evacuate(zone, order.result()::complete));
       if (result instanceof Result.Accepted) {
         return result;
       }
     }
-    throw new AssertionError("no clear answer to the evacuation of " + zone);
+    throw new AssertionError("no definite result of the evacuation of " + zone);
   }
 
-  private List<Integer> running() {
+  private List<Integer> runningReplicas() {
     List<Integer> indexes = new ArrayList<>();
     for (int i = 0; i < REPLICAS; i++) {
       if (replicas.get(i).isPresent()) {
@@ -186,32 +188,32 @@
     return indexes;
   }
 
-  /** Asks one replica after the other, as an operator does, until one gives a clear answer. */
-  private Result publishSomewhere(long version, Bytes content) throws Exception {
+  /** Publishes at one replica after the other until one returns a definite result. */
+  private Result publishAtAnyReplica(long version, Bytes content) throws Exception {
     for (int i = 0; isTimeLeft(); i++) {
-      List<Integer> indexes = running();
+      List<Integer> indexes = runningReplicas();
       Result result = publish(indexes.get(i % indexes.size()), version, content);
       if (result instanceof Result.Accepted || result instanceof Result.Conflict) {
         return result;
       }
     }
-    throw new AssertionError("no clear answer to version " + version);
+    throw new AssertionError("no definite result of publishing version " + version);
   }
 
-  private Result readSomewhere() throws Exception {
+  private Result readAtAnyReplica() throws Exception {
     for (int i = 0; isTimeLeft(); i++) {
-      List<Integer> indexes = running();
+      List<Integer> indexes = runningReplicas();
       Result result = read(indexes.get(i % indexes.size()));
       if (result instanceof Result.Newest) {
         return result;
       }
     }
-    throw new AssertionError("no replica can read");
+    throw new AssertionError("no replica returns the newest version");
   }
 
   @Test
-  public void acceptsNothingBeforeEveryVoterIsThere() throws Exception {
-    found();
+  public void acceptsNothingBeforeEveryVoterHasJoined() throws Exception {
+    foundCluster();
     for (int i = 0; i < REPLICAS - 1; i++) {
       start(i);
     }
@@ -219,34 +221,34 @@
       assertFalse(publish(i % (REPLICAS - 1), 1, ONE) instanceof Result.Accepted);
     }
     start(REPLICAS - 1);
-    assertEquals(publishSomewhere(1, ONE), new Result.Accepted(1));
-    assertEquals(readSomewhere(), new Result.Newest(1, ONE));
+    assertEquals(publishAtAnyReplica(1, ONE), new Result.Accepted(1));
+    assertEquals(readAtAnyReplica(), new Result.Newest(1, ONE));
   }
 
   @Test
-  public void bearsTheLossOfTwoDisksAtOnce() throws Exception {
-    found();
+  public void toleratesTheSimultaneousLossOfTwoDisks() throws Exception {
+    foundCluster();
     for (int i = 0; i < REPLICAS; i++) {
       start(i);
     }
-    assertEquals(publishSomewhere(1, ONE), new Result.Accepted(1));
+    assertEquals(publishAtAnyReplica(1, ONE), new Result.Accepted(1));
     for (int lost : List.of(0, 3)) {
       close(lost);
       deleteFolder(dataFolder(lost));
     }
-    assertEquals(readSomewhere(), new Result.Newest(1, ONE));
+    assertEquals(readAtAnyReplica(), new Result.Newest(1, ONE));
     start(0);
     start(3);
-    assertEquals(publishSomewhere(2, TWO), new Result.Accepted(2));
+    assertEquals(publishAtAnyReplica(2, TWO), new Result.Accepted(2));
     awaitVoter(0);
     awaitVoter(3);
-    // With the two blank disks among the voters, two others may go.
+    // Once both replaced replicas are voters, the cluster must tolerate the loss of two others.
     close(1);
     close(2);
-    assertEquals(readSomewhere(), new Result.Newest(2, TWO));
+    assertEquals(readAtAnyReplica(), new Result.Newest(2, TWO));
   }
 
-  /** Waits until the identity on a replica's disk is among the voters. */
+  /** Waits until the identity on a replica's disk is that of a voter. */
   private void awaitVoter(int index) throws Exception {
     while (isTimeLeft()) {
       Optional<Identity> identity = Identity.read(dataFolder(index));
@@ -254,7 +256,7 @@
         return;
       }
     }
-    throw new AssertionError("replica " + index + " does not become a voter: " + status());
+    throw new AssertionError("replica " + index + " did not become a voter: " + status());
   }
 
   private String voterLine(int index, Identity identity) {
@@ -262,10 +264,10 @@
         .formatted(identity.replicaId(), address(index));
   }
 
-  /** Returns the report of whichever replica leads; empty where none does. */
+  /** Returns the status report of the leader, or an empty string if there is none. */
   private String status() throws Exception {
     StringBuilder all = new StringBuilder();
-    for (int index : running()) {
+    for (int index : runningReplicas()) {
       CompletableFuture<Message> answer = new CompletableFuture<>();
       Bytes query = new GetReport("status", "").toBytes();
       replicas.get(index).orElseThrow().submit(new FutureSink(answer), new QueryRequest(1, query));
@@ -299,7 +301,7 @@
   }
 
   @Test
-  public void aBlankReplicaThatMayNotFoundNeverDoes() throws Exception {
+  public void replicasWithoutAFounderNeverFormACluster() throws Exception {
     for (int i = 0; i < REPLICAS; i++) {
       start(i);
     }
@@ -309,56 +311,57 @@
   }
 
   @Test
-  public void aHeldVersionWithAnotherContentIsAConflict() throws Exception {
-    found();
+  public void aPublishedVersionWithDifferentContentIsAConflict() throws Exception {
+    foundCluster();
     for (int i = 0; i < REPLICAS; i++) {
       start(i);
     }
-    assertEquals(publishSomewhere(3, ONE), new Result.Accepted(3));
-    assertEquals(publishSomewhere(3, TWO), new Result.Conflict(3));
-    assertEquals(publishSomewhere(3, ONE), new Result.Accepted(3));
-    assertEquals(publishSomewhere(2, TWO), new Result.Accepted(3));
-    assertEquals(readSomewhere(), new Result.Newest(3, ONE));
+    assertEquals(publishAtAnyReplica(3, ONE), new Result.Accepted(3));
+    assertEquals(publishAtAnyReplica(3, TWO), new Result.Conflict(3));
+    assertEquals(publishAtAnyReplica(3, ONE), new Result.Accepted(3));
+    assertEquals(publishAtAnyReplica(2, TWO), new Result.Accepted(3));
+    assertEquals(readAtAnyReplica(), new Result.Newest(3, ONE));
   }
 
   @Test
-  public void anEvacuationOutlivesTheReplicasThatAcceptedIt() throws Exception {
-    found();
+  public void anEvacuationSurvivesTheLossOfReplicasThatAcceptedIt() throws Exception {
+    foundCluster();
     for (int i = 0; i < REPLICAS; i++) {
       start(i);
     }
-    publishSomewhere(1, ONE);
-    assertEquals(evacuateSomewhere("z1"), new Result.Accepted(1));
-    assertEquals(evacuateSomewhere("z1"), new Result.Accepted(1));
+    publishAtAnyReplica(1, ONE);
+    assertEquals(evacuateAtAnyReplica("z1"), new Result.Accepted(1));
+    assertEquals(evacuateAtAnyReplica("z1"), new Result.Accepted(1));
     for (int lost : List.of(1, 4)) {
       close(lost);
       deleteFolder(dataFolder(lost));
     }
-    assertEquals(evacuateSomewhere("z2"), new Result.Accepted(2));
+    assertEquals(evacuateAtAnyReplica("z2"), new Result.Accepted(2));
     start(1);
     start(4);
     awaitVoter(1);
     awaitVoter(4);
-    // All lose power at once, and two of those that accepted the first order are gone.
+    // All replicas stop at once, and two of those that accepted the first evacuation don't return.
     for (int i = 0; i < REPLICAS; i++) {
       close(i);
     }
     for (int i : List.of(0, 1, 4)) {
       start(i);
     }
-    assertEquals(evacuateSomewhere("z1"), new Result.Accepted(2));
-    assertEquals(evacuateSomewhere("z2"), new Result.Accepted(2));
+    assertEquals(evacuateAtAnyReplica("z1"), new Result.Accepted(2));
+    assertEquals(evacuateAtAnyReplica("z2"), new Result.Accepted(2));
   }
 
   @Test
-  public void noEvacuationIsAcceptedBeforeEveryVoterIsThere() throws Exception {
-    found();
+  public void noEvacuationIsAcceptedBeforeEveryVoterHasJoined() throws Exception {
+    foundCluster();
     for (int i = 0; i < REPLICAS - 1; i++) {
       start(i);
     }
     for (int i = 0; i < 40; i++) {
       int index = i % (REPLICAS - 1);
-      Result result = ask(index, asked -> asked.log().evacuate("z1", asked.result()::complete));
+      Result result =
+          submit(index, order -> order.orders().evacuate("z1", order.result()::complete));
       assertFalse(result instanceof Result.Accepted);
     }
   }
--- a/daemon/src/test/java/io/hingehoist/quorum/LargeDocumentTest.java
+++ b/daemon/src/test/java/io/hingehoist/quorum/LargeDocumentTest.java
@@ -38,16 +38,16 @@
 import org.testng.annotations.Test;
 
 /**
- * An operator publishes 450 KB while an owner follows. Sent whole by five replicas, they stand for
- * a second before heartbeats and orders on an entry box's link of 17 Mbit/s.
+ * Tests publishing a document of 450 KB while an owner follows. If five replicas sent it whole, it
+ * would delay heartbeats and orders by a second on an entry box's link of 17 Mbit/s.
  */
 public final class LargeDocumentTest {
   private static final int DOCUMENT_BYTES = 450_000;
 
-  /** Some 7 ms on a link of 17 Mbit/s: what a heartbeat may wait for. */
+  /** About 7 ms on a link of 17 Mbit/s, the longest acceptable delay of a heartbeat. */
   private static final int MAX_MESSAGE_BYTES = 16_000;
 
-  private static final long PATIENCE_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
 
   private final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
   private EventLoop loop;
@@ -100,18 +100,18 @@
   }
 
   private void publish(long version) throws Exception {
-    long beganAtNanos = System.nanoTime();
-    while (System.nanoTime() - beganAtNanos < TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS)) {
+    long startedAtNanos = System.nanoTime();
+    while (System.nanoTime() - startedAtNanos < TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS)) {
       CompletableFuture<Result> result = new CompletableFuture<>();
       loop.execute(
           () ->
               LocalOrders.of(replica, loop, "configuration")
                   .publish(version, Bytes.copyOf(new byte[DOCUMENT_BYTES]), result::complete));
-      if (result.get(PATIENCE_SECONDS, TimeUnit.SECONDS) instanceof Result.Accepted) {
+      if (result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS) instanceof Result.Accepted) {
         return;
       }
     }
-    throw new AssertionError("no clear answer to version " + version);
+    throw new AssertionError("no definite result of publishing version " + version);
   }
 
   private FrameConnection follow() throws IOException {
@@ -135,25 +135,25 @@
     return connection;
   }
 
-  /** Returns the next message that is about the document. */
-  private Message nextOfDocument() throws InterruptedException {
+  /** Returns the next message about the document. */
+  private Message nextDocumentMessage() throws InterruptedException {
     Message message;
     do {
-      message = received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertTrue(message != null, "the replica says nothing of the document");
+      message = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertTrue(message != null, "no message about the document from the replica");
     } while (!message.getClass().getSimpleName().startsWith("Document"));
     return message;
   }
 
   @Test
-  public void aLargeDocumentDoesNotStandBeforeHeartbeats() throws Exception {
+  public void aLargeDocumentDoesNotDelayHeartbeats() throws Exception {
     publish(1);
     try (FrameConnection owner = follow()) {
       assertTrue(owner.isOpen());
-      int firstBytes = nextOfDocument().toBytes().size();
+      int firstBytes = nextDocumentMessage().toBytes().size();
       assertTrue(firstBytes <= MAX_MESSAGE_BYTES, "a new owner was sent " + firstBytes + " bytes");
       publish(2);
-      int changeBytes = nextOfDocument().toBytes().size();
+      int changeBytes = nextDocumentMessage().toBytes().size();
       assertTrue(changeBytes <= MAX_MESSAGE_BYTES, "a change took " + changeBytes + " bytes");
     }
   }
--- a/daemon/src/test/java/io/hingehoist/wire/FrameConnectionTest.java
+++ b/daemon/src/test/java/io/hingehoist/wire/FrameConnectionTest.java
@@ -84,7 +84,7 @@
   }
 
   @Test
-  public void aMessageArrives() throws Exception {
+  public void receivesAMessage() throws Exception {
     try (Socket socket = connect()) {
       writeFrame(socket, new CreditGrant(3).toBytes().toArray());
       assertEquals(received.poll(10, TimeUnit.SECONDS), new CreditGrant(3));
@@ -92,17 +92,17 @@
   }
 
   @Test
-  public void garbageClosesTheConnectionAndIsCountedAndTheServerGoesOn() throws Exception {
+  public void anInvalidFrameIsCountedAndClosesOnlyItsConnection() throws Exception {
     try (Socket socket = connect()) {
       writeFrame(socket, new byte[] {(byte) 0xc1, 1, 2, 3});
       awaitClosed();
       assertEquals(badFrames(), 1.0);
     }
-    aMessageArrives();
+    receivesAMessage();
   }
 
   @Test
-  public void anOversizedFrameClosesTheConnectionBeforeItIsRead() throws Exception {
+  public void anOversizedFrameClosesTheConnectionBeforeItsBodyIsRead() throws Exception {
     try (Socket socket = connect()) {
       new DataOutputStream(socket.getOutputStream()).writeInt(FrameConnection.MAX_FRAME_BYTES + 1);
       awaitClosed();
@@ -111,7 +111,7 @@
   }
 
   @Test
-  public void randomBytesNeverPassForAMessageOfAnotherKind() {
+  public void randomBytesAreRefusedOrDecodeToAnEncodableMessage() {
     Random random = new Random(1);
     int refused = 0;
     for (int i = 0; i < 20_000; i++) {
@@ -128,9 +128,9 @@
   }
 
   @Test
-  public void aPeerThatDoesNotReadIsDropped() throws Exception {
-    Socket quiet = connect();
-    CountDownLatch dropped = new CountDownLatch(1);
+  public void aPeerThatDoesNotReadIsDisconnected() throws Exception {
+    Socket unread = connect();
+    CountDownLatch disconnected = new CountDownLatch(1);
     FrameHandler handler =
         new FrameHandler() {
           @Override
@@ -138,16 +138,16 @@
 
           @Override
           public void onClosed(FrameConnection connection) {
-            dropped.countDown();
+            disconnected.countDown();
           }
         };
     FrameConnection connection =
-        FrameConnection.start(quiet, handler, metrics, Thread.ofVirtual().factory(), 1);
+        FrameConnection.start(unread, handler, metrics, Thread.ofVirtual().factory(), 1);
     boolean open = true;
     for (int i = 0; i < 10_000_000 && open; i++) {
       open = connection.send(new CreditGrant(i));
     }
     assertFalse(open);
-    assertTrue(dropped.await(10, TimeUnit.SECONDS));
+    assertTrue(disconnected.await(10, TimeUnit.SECONDS));
   }
 }
--- a/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
+++ b/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
@@ -15,15 +15,15 @@
 import org.testng.annotations.Test;
 
 /**
- * A connection may fall silent for good while the peer is well and heard on another. A link between
- * an entry and an agent, or between two replicas, then kept it for ever: the first was never looked
- * at, the second only by what the peer said on its own connection.
+ * Guards against links that keep a silent connection for ever. A connection may fall silent while
+ * the peer works and sends on another one, so each connection must be checked by what is received
+ * on it, both between an entry and an agent and between two replicas.
  */
 public final class FrameLinkTest {
   private static final Hello HELLO = new Hello(Role.CONTROL, "r", 0, "", 1);
-  private static final int PATIENCE_SECONDS = 20;
+  private static final int TIMEOUT_SECONDS = 20;
 
-  private static final FrameHandler IGNORES =
+  private static final FrameHandler IGNORING_HANDLER =
       new FrameHandler() {
         @Override
         public void onMessage(FrameConnection connection, Message message) {}
@@ -33,10 +33,10 @@
       };
 
   @Test
-  public void aConnectionOnWhichNothingIsHeardIsReplaced() throws Exception {
+  public void aSilentConnectionIsReplaced() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 2, InetAddress.getLoopbackAddress());
         FrameLink link = linkTo(server)) {
-      server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+      server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
       try (Socket silent = server.accept();
           Socket next = server.accept()) {
         assertTrue(silent.isConnected() && next.isConnected(), link.address());
@@ -45,20 +45,20 @@
   }
 
   @Test
-  public void aConnectionWhoseOtherEndAnswersIsKept() throws Exception {
+  public void aConnectionWithKeepAlivesIsKept() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     try (ServerSocket server = new ServerSocket(0, 2, InetAddress.getLoopbackAddress());
         FrameLink link = linkTo(server);
         FrameConnection answering =
             FrameConnection.start(
-                server.accept(), closedBy(closed), Metrics.create(), Thread::new, 100)) {
+                server.accept(), countDownOnClose(closed), Metrics.create(), Thread::new, 100)) {
       assertTrue(answering.isOpen(), link.address());
-      // Three times as long as an answer is waited for.
-      assertTrue(!closed.await(7, TimeUnit.SECONDS), "the connection was given up");
+      // Three times the time-out after which a silent connection is closed.
+      assertTrue(!closed.await(7, TimeUnit.SECONDS), "the connection was closed");
     }
   }
 
-  private static FrameHandler closedBy(CountDownLatch closed) {
+  private static FrameHandler countDownOnClose(CountDownLatch closed) {
     return new FrameHandler() {
       @Override
       public void onMessage(FrameConnection connection, Message message) {}
@@ -75,7 +75,7 @@
         "127.0.0.1:" + server.getLocalPort(),
         "127.0.0.1:1",
         HELLO,
-        IGNORES,
+        IGNORING_HANDLER,
         Metrics.create(),
         Thread::new,
         100);
--- a/daemon/src/test/java/io/hingehoist/wire/FrameServerTest.java
+++ b/daemon/src/test/java/io/hingehoist/wire/FrameServerTest.java
@@ -13,7 +13,7 @@
 
 public final class FrameServerTest {
   private static final int READ_TIMEOUT_MS = 10_000;
-  private static final int END = -1;
+  private static final int END_OF_STREAM = -1;
 
   private static String freeAddress() throws IOException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -21,7 +21,7 @@
     }
   }
 
-  private static final class Deaf implements FrameHandler {
+  private static final class IgnoringHandler implements FrameHandler {
     @Override
     public void onMessage(FrameConnection connection, Message message) {}
 
@@ -29,9 +29,12 @@
     public void onClosed(FrameConnection connection) {}
   }
 
-  /** A connection that nobody serves looks open to its peer, who then never opens another. */
+  /**
+   * Guards against an accepted connection that no thread reads. It looks open to its peer, which
+   * therefore opens no other one.
+   */
   @Test
-  public void aConnectionThatIsTakenWhileTheServerClosesIsClosedAsWell() throws IOException {
+  public void aConnectionAcceptedWhileTheServerClosesIsClosed() throws IOException {
     CompletableFuture<FrameServer> opened = new CompletableFuture<>();
     String address = freeAddress();
     opened.complete(
@@ -39,7 +42,7 @@
             address,
             () -> {
               opened.join().close();
-              return new Deaf();
+              return new IgnoringHandler();
             },
             Metrics.create(),
             Thread.ofVirtual().factory(),
@@ -47,7 +50,7 @@
     try (Socket socket = new Socket()) {
       socket.connect(Addresses.toSocketAddress(address));
       socket.setSoTimeout(READ_TIMEOUT_MS);
-      assertEquals(socket.getInputStream().read(), END);
+      assertEquals(socket.getInputStream().read(), END_OF_STREAM);
     }
   }
 }
