--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -278,16 +278,16 @@
     @Override
     public void onMessage(long sessionId, Message message) {
       checkSleep();
-      long now = EventLoop.nowMs();
+      long nowMs = EventLoop.nowMs();
       switch (message) {
         case OwnerBeat heartbeat ->
-            host.ownerBeat(sessionId, heartbeat.sentAtMs(), heartbeat.follows(), now);
-        case OwnerWaiting waiting -> host.ownerWaiting(sessionId, waiting, now);
-        case StartRuns order -> host.startRuns(sessionId, order, now);
+            host.ownerBeat(sessionId, heartbeat.sentAtMs(), heartbeat.follows(), nowMs);
+        case OwnerWaiting waiting -> host.ownerWaiting(sessionId, waiting, nowMs);
+        case StartRuns order -> host.startRuns(sessionId, order, nowMs);
         case SessionProof proof ->
-            host.sessionProven(sessionId, proof.number(), proof.sentAtMs(), now);
-        case SessionProbe probe -> host.sessionProbed(sessionId, probe.number(), now);
-        case StopRun order -> host.stopRun(sessionId, order.run(), now);
+            host.sessionProven(sessionId, proof.number(), proof.sentAtMs(), nowMs);
+        case SessionProbe probe -> host.sessionProbed(sessionId, probe.number(), nowMs);
+        case StopRun order -> host.stopRun(sessionId, order.run(), nowMs);
         case EvacuatedZones zones -> updateZones(zones, "session=" + sessionId);
         default -> owners.close(sessionId);
       }
--- a/daemon/src/main/java/io/hingehoist/net/HttpConnection.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpConnection.java
@@ -63,13 +63,13 @@
       return;
     }
     if (part instanceof io.netty.handler.codec.http.HttpRequest newHead) {
-      begin(context, newHead);
+      startRequest(context, newHead);
     }
     if (part instanceof HttpContent content) {
       addContent(context, content);
     }
     if (part instanceof LastHttpContent) {
-      finish(context);
+      finishRequest(context);
     }
   }
 
@@ -78,7 +78,7 @@
     write(context, HttpResponse.text(400, "not an HTTP request"), false);
   }
 
-  private void begin(
+  private void startRequest(
       ChannelHandlerContext context, io.netty.handler.codec.http.HttpRequest newHead) {
     head = newHead;
     bodyBytes = 0;
@@ -103,7 +103,7 @@
     }
   }
 
-  private void finish(ChannelHandlerContext context) {
+  private void finishRequest(ChannelHandlerContext context) {
     byte[] bodyContent = new byte[body.readableBytes()];
     body.readBytes(bodyContent);
     body.release();
--- a/daemon/src/main/java/io/hingehoist/net/HttpExchange.java
+++ b/daemon/src/main/java/io/hingehoist/net/HttpExchange.java
@@ -8,7 +8,7 @@
   private final Consumer<HttpResponse> responses;
   private final Runnable resetConnection;
   private Runnable onDisconnect = () -> {};
-  private boolean over;
+  private boolean ended;
 
   HttpExchange(HttpRequest request, Consumer<HttpResponse> responses, Runnable resetConnection) {
     this.request = request;
@@ -21,18 +21,18 @@
     return request;
   }
 
-  /** Sends the response, unless the exchange is over or the caller has disconnected. */
+  /** Sends the response, unless the exchange has ended or the caller has disconnected. */
   public void answer(HttpResponse response) {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       responses.accept(response);
     }
   }
 
   /** Resets the connection without a response, as the state of the request is not known. */
   public void abort() {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       resetConnection.run();
     }
   }
@@ -44,8 +44,8 @@
 
   /** Ends the exchange after the caller has disconnected. */
   void disconnected() {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       onDisconnect.run();
     }
   }
--- a/daemon/src/main/java/io/hingehoist/net/PeerLink.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerLink.java
@@ -189,7 +189,7 @@
     public void onOpen(PeerChannel channel) {
       boolean recovered =
           current
-              .filter(former -> former.lastReceivedAtMs() > replacedLastReceivedAtMs)
+              .filter(previous -> previous.lastReceivedAtMs() > replacedLastReceivedAtMs)
               .isPresent();
       if (closed || recovered) {
         channel.close();
@@ -201,11 +201,11 @@
       handler.onOpen(channel);
     }
 
-    private void closeReplaced(PeerChannel former) {
-      timeoutFactor = isSteady(former) ? 1 : Math.min(MAX_TIMEOUT_FACTOR, 2 * timeoutFactor);
+    private void closeReplaced(PeerChannel previous) {
+      timeoutFactor = isSteady(previous) ? 1 : Math.min(MAX_TIMEOUT_FACTOR, 2 * timeoutFactor);
       current = Optional.empty();
-      handler.onClosed(former);
-      former.close();
+      handler.onClosed(previous);
+      previous.close();
     }
 
     @Override
--- a/daemon/src/main/java/io/hingehoist/net/PlannedStop.java
+++ b/daemon/src/main/java/io/hingehoist/net/PlannedStop.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns the remaining time, which may be negative. */
-  public long leftMs(long nowMs) {
+  public long remainingMs(long nowMs) {
     return beganAtMs + timeoutMs - MARGIN_MS - nowMs;
   }
 
--- a/daemon/src/main/java/io/hingehoist/net/PooledHttpClient.java
+++ b/daemon/src/main/java/io/hingehoist/net/PooledHttpClient.java
@@ -160,8 +160,8 @@
 
     /**
      * Cancels the time-out of the request in flight. If the timers of answered requests kept
-     * running, they would wake a host about 70 times a second at 30 task starts a second, a fifth
-     * of all its wake-ups.
+     * running, they would wake a host about 70 times a second at 30 task starts a second, which is
+     * one wake-up in five.
      */
     private Runnable cancelTimeout = () -> {};
 
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -237,12 +237,12 @@
    */
   private void suspend(String hostId, Session session) {
     long nowMs = EventLoop.nowMs();
-    PeerChannel former = session.channel.orElseThrow();
+    PeerChannel previous = session.channel.orElseThrow();
     session.channel = Optional.empty();
     session.silent = false;
     session.suspendedAtMs = nowMs;
-    former.close();
-    listener.onSuspended(hostId, nowMs - former.lastReceivedAtMs());
+    previous.close();
+    listener.onSuspended(hostId, nowMs - previous.lastReceivedAtMs());
   }
 
   /** Announces this owner to hosts that have no session with it or are silent on theirs. */
@@ -269,7 +269,7 @@
             self.address(),
             ANNOUNCE_CONNECTION_MS,
             this::hello,
-            new AnnouncementHandler(host.nodeId()),
+            new AnnouncingHandler(host.nodeId()),
             metrics);
     loop.schedule(link::close, ANNOUNCE_CONNECTION_MS);
   }
@@ -444,10 +444,10 @@
     }
   }
 
-  private final class AnnouncementHandler implements PeerHandler {
+  private final class AnnouncingHandler implements PeerHandler {
     private final String hostId;
 
-    private AnnouncementHandler(String hostId) {
+    private AnnouncingHandler(String hostId) {
       this.hostId = hostId;
     }
 
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -82,7 +82,7 @@
   private final PlannedStop stop;
   private final ControlLinks controls;
   private final HostSessions hosts;
-  private final HttpServer front;
+  private final HttpServer frontServer;
   private final ZoneKnowledge zones = ZoneKnowledge.create();
   private final RouteFetcher routes;
   private final SleepDetector sleepDetector = SleepDetector.create();
@@ -132,7 +132,7 @@
             timing.ownerLeaseMs(),
             metrics,
             new HostListener());
-    this.front =
+    this.frontServer =
         HttpServer.open(loop, settings.frontAddress(), MAX_BODY_BYTES, adapter.frontDoor(this));
     if (!settings.readyAddress().isEmpty()) {
       HttpServer.open(loop, settings.readyAddress(), MAX_READY_BODY_BYTES, this::answerReady);
@@ -169,31 +169,31 @@
     loop.execute(() -> controls.open(ControlAddresses.of(newNode)));
   }
 
-  private void answerReady(HttpExchange call) {
+  private void answerReady(HttpExchange exchange) {
     boolean ready =
         !stop.hasBegun() && routes.table().version() > 0 && jobs.hasReadyWorker(EventLoop.nowMs());
-    call.answer(HttpResponse.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
+    exchange.answer(HttpResponse.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
   }
 
   // Periodic work.
 
   @Override
-  public void onTick(long now) {
+  public void onTick(long nowMs) {
     checkSleep();
-    if (now - tickedAtMs >= timing.ownerLeaseMs()) {
-      handlePause(now - tickedAtMs);
+    if (nowMs - tickedAtMs >= timing.ownerLeaseMs()) {
+      handlePause(nowMs - tickedAtMs);
     }
-    if (sleepCheck.hasSlept(now)) {
+    if (sleepCheck.hasSlept(nowMs)) {
       handlePause(suspectedSleepMs);
     }
-    tickedAtMs = now;
-    controls.onTick(now);
-    routes.onTick(now);
-    hosts.onTick(now);
-    hosts.announceToMissing(controls.directory().peers(Role.AGENT), now);
-    jobs.onTick(now);
+    tickedAtMs = nowMs;
+    controls.onTick(nowMs);
+    routes.onTick(nowMs);
+    hosts.onTick(nowMs);
+    hosts.announceToMissing(controls.directory().peers(Role.AGENT), nowMs);
+    jobs.onTick(nowMs);
     if (stop.hasBegun()) {
-      checkStop(now);
+      checkStop(nowMs);
     }
   }
 
@@ -203,7 +203,7 @@
    */
   private void handlePause(long pauseMs) {
     log.write("stoodStill", node.nodeId(), "ms=" + pauseMs + " jobsDropped=" + jobs.jobCount());
-    jobs.dropAll("owner stood still");
+    jobs.dropAll("owner process was paused");
     hosts.endAll();
   }
 
@@ -221,9 +221,10 @@
     }
   }
 
-  private void checkStop(long now) {
-    boolean drained = stop.elapsedMs(now) >= MIN_STOP_SERVING_MS && front.openExchanges() == 0;
-    if (drained || stop.leftMs(now) <= 0) {
+  private void checkStop(long nowMs) {
+    boolean drained =
+        stop.elapsedMs(nowMs) >= MIN_STOP_SERVING_MS && frontServer.openExchanges() == 0;
+    if (drained || stop.remainingMs(nowMs) <= 0) {
       stop.complete();
     }
   }
@@ -237,7 +238,7 @@
     boolean ended =
         loop.stop(
             nowMs -> {
-              front.closeAfterResponses();
+              frontServer.closeAfterResponses();
               log.write("stopping", node.nodeId(), "jobs=" + jobs.jobCount());
             });
     log.write("stopped", node.nodeId(), "jobsLeft=" + jobs.jobCount());
@@ -290,15 +291,15 @@
   @Override
   public boolean refuses(JobPlan plan) {
     double neededMs = STOP_TIME_FACTOR * plan.objectiveMs();
-    return stop.hasBegun() && stop.leftMs(EventLoop.nowMs()) < neededMs;
+    return stop.hasBegun() && stop.remainingMs(EventLoop.nowMs()) < neededMs;
   }
 
   @Override
   public void submit(JobPlan plan, Waiter waiter) {
-    long now = EventLoop.nowMs();
+    long nowMs = EventLoop.nowMs();
     waiters.add(plan.jobId(), waiter);
-    if (jobs.submit(plan, now)) {
-      acceptedAtMs.put(plan.jobId(), now);
+    if (jobs.submit(plan, nowMs)) {
+      acceptedAtMs.put(plan.jobId(), nowMs);
     }
     loop.flushLater();
   }
@@ -306,7 +307,7 @@
   @Override
   public void leave(String jobId, Waiter waiter) {
     if (waiters.remove(jobId, waiter)) {
-      jobs.abandon(jobId, "caller left");
+      jobs.abandon(jobId, "caller disconnected");
       loop.flushLater();
     }
   }
@@ -384,16 +385,16 @@
 
     @Override
     public void onMessage(String hostId, Message message) {
-      long now = EventLoop.nowMs();
+      long nowMs = EventLoop.nowMs();
       switch (message) {
-        case HostRows rows -> jobs.hostRows(hostId, rows, now);
+        case HostRows rows -> jobs.hostRows(hostId, rows, nowMs);
         case RunEnded ended -> {
           metrics.countTask(ended.end().name());
-          jobs.runEnded(hostId, ended, now);
+          jobs.runEnded(hostId, ended, nowMs);
         }
-        case WorkerCrashed crash -> jobs.workerCrashed(crash, now);
+        case WorkerCrashed crash -> jobs.workerCrashed(crash, nowMs);
         case SessionProof proof -> sleepCheck.proven(proof.number());
-        case RunNotStarted report -> jobs.runNotStarted(hostId, report, now);
+        case RunNotStarted report -> jobs.runNotStarted(hostId, report, nowMs);
         case EvacuatedZones received -> updateZones(received, hostId);
         default -> metrics.countBadFrame();
       }
@@ -443,7 +444,7 @@
 
   @Override
   public void close() {
-    front.close();
+    frontServer.close();
     hosts.close();
     controls.close();
   }
--- a/daemon/src/main/java/io/hingehoist/quorum/ClientRequests.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ClientRequests.java
@@ -73,7 +73,7 @@
     return ++lastToken;
   }
 
-  /** Returns the command of a proposal. If it can't be decoded, returns empty and responds. */
+  /** Returns the command of a proposal, or responds with an error if it can't be decoded. */
   static Optional<Command> commandOf(MessageSink client, ProposeRequest request) {
     try {
       return Optional.of(Command.fromBytes(request.command()));
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
@@ -70,8 +70,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * A control replica. The control thread owns the log, the applied state and the journal; the
- * threads of connections only put messages into its queue.
+ * A control replica. The log, the applied state and the journal are confined to the control thread;
+ * the threads of connections only put messages into its queue.
  *
  * <p>The control thread works in batches: it drains its queue, passes the events to the replica,
  * writes and syncs the journal once, and only then sends the messages that depend on durable data.
@@ -122,13 +122,13 @@
       Metrics metrics,
       ThreadFactory threads,
       Optional<RouteFeed> routeFeed,
-      Consumer<Throwable> fatal)
+      Consumer<Throwable> onFatalError)
       throws IOException {
     this.routeFeed = routeFeed;
     this.settings = settings;
     this.journal = journal;
     // After a failed sync, the state of the disk is unknown, so acknowledged data could be lost.
-    this.loop = InboxLoop.create("control", TICK_MS, MAX_BATCH, new LoopNode(), fatal);
+    this.loop = InboxLoop.create("control", TICK_MS, MAX_BATCH, new LoopNode(), onFatalError);
     this.metrics = metrics;
     List<String> controlAddresses = ControlAddresses.of(node);
     this.voterCount =
@@ -189,11 +189,11 @@
       Metrics metrics,
       ThreadFactory threads,
       Optional<RouteFeed> routeFeed,
-      Consumer<Throwable> fatal)
+      Consumer<Throwable> onFatalError)
       throws IOException {
     Journal journal = Journal.open(Path.of(node.dataFolder()), disk, metrics);
     ControlNode control =
-        new ControlNode(node, settings, journal, metrics, threads, routeFeed, fatal);
+        new ControlNode(node, settings, journal, metrics, threads, routeFeed, onFatalError);
     control.loop.start();
     if (!settings.platformList().isEmpty()) {
       control.platformThread.start();
@@ -245,20 +245,20 @@
     }
   }
 
-  private void handleBatch(List<ControlEvent> batch, long now) throws IOException {
+  private void handleBatch(List<ControlEvent> batch, long nowMs) throws IOException {
     for (ControlEvent event : batch) {
-      handle(event, now);
+      handle(event, nowMs);
     }
-    if (now - tickedAtMs >= TICK_MS) {
-      tickedAtMs = now;
-      step(new ReplicaEvent.Tick(), now);
-      requests.expire(now);
-      proposeDue(now);
+    if (nowMs - tickedAtMs >= TICK_MS) {
+      tickedAtMs = nowMs;
+      step(new ReplicaEvent.Tick(), nowMs);
+      requests.expire(nowMs);
+      proposeDue(nowMs);
     }
     if (discoversPeers) {
-      discover(now);
+      discover(nowMs);
     }
-    carryOut(replica.flush(now));
+    carryOut(replica.flush(nowMs));
     publishDocuments();
     syncJournal();
     sendsAfterSync.forEach(send -> send(send.address(), send.message()));
@@ -266,31 +266,31 @@
     saveSnapshotIfDue();
   }
 
-  private void handle(ControlEvent event, long now) throws IOException {
+  private void handle(ControlEvent event, long nowMs) throws IOException {
     switch (event) {
-      case ControlEvent.FromReplica from -> step(new ReplicaEvent.Received(from.message()), now);
-      case ControlEvent.FromClient from -> handleRequest(from.client(), from.message(), now);
-      case ControlEvent.Announced announced -> handleAnnounce(announced, now);
+      case ControlEvent.FromReplica from -> step(new ReplicaEvent.Received(from.message()), nowMs);
+      case ControlEvent.FromClient from -> handleRequest(from.client(), from.message(), nowMs);
+      case ControlEvent.Announced announced -> handleAnnounce(announced, nowMs);
       case ControlEvent.AddressesChanged changed ->
-          changed.addresses().forEach(address -> links.open(address, now));
-      case ControlEvent.Platform platform -> handlePlatformList(platform.boxes(), now);
+          changed.addresses().forEach(address -> links.open(address, nowMs));
+      case ControlEvent.Platform platform -> handlePlatformList(platform.boxes(), nowMs);
     }
   }
 
-  private void handleRequest(MessageSink client, Message message, long now) throws IOException {
+  private void handleRequest(MessageSink client, Message message, long nowMs) throws IOException {
     switch (message) {
       case ProposeRequest request -> {
         if (mayPropose(client, request)) {
           long token = requests.add(client, request);
-          propose(token, request.command(), now);
+          propose(token, request.command(), nowMs);
         }
       }
       case QueryRequest request ->
-          step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
+          step(new ReplicaEvent.ReadRequested(requests.add(client, request)), nowMs);
       case HeartbeatRequest request -> {
-        liveness.heard(request.role(), request.nodeId(), request.incarnation(), now);
-        proposeDraining(request, now);
-        step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
+        liveness.heard(request.role(), request.nodeId(), request.incarnation(), nowMs);
+        proposeDraining(request, nowMs);
+        step(new ReplicaEvent.ReadRequested(requests.add(client, request)), nowMs);
       }
       default -> throw new IllegalStateException("not a client request: " + message);
     }
@@ -303,13 +303,13 @@
    */
   private boolean mayPropose(MessageSink client, ProposeRequest request) {
     Optional<Command> command = ClientRequests.commandOf(client, request);
-    boolean early =
+    boolean votersMissing =
         command.isPresent()
             && (command.get() instanceof PublishDocument || command.get() instanceof ChangeZone)
             && state.documents().isEmpty()
             && replica.isLeader()
             && replica.voters().size() < voterCount;
-    if (early) {
+    if (votersMissing) {
       client.send(
           new ProposeResponse(
               request.requestId(),
@@ -317,25 +317,25 @@
               replica.leaderAddress(),
               Bytes.empty()));
     }
-    return command.isPresent() && !early;
+    return command.isPresent() && !votersMissing;
   }
 
-  private void propose(long token, Bytes command, long now) throws IOException {
-    step(new ReplicaEvent.Proposed(token, command, System.currentTimeMillis()), now);
+  private void propose(long token, Bytes command, long nowMs) throws IOException {
+    step(new ReplicaEvent.Proposed(token, command, System.currentTimeMillis()), nowMs);
   }
 
   /** Proposes a command of the leader itself, unless the same was proposed recently. */
-  private void proposeOnce(Command command, long now) throws IOException {
+  private void proposeOnce(Command command, long nowMs) throws IOException {
     Long lastProposedAtMs = proposedAtMs.get(command);
     if (!replica.isLeader()
-        || (lastProposedAtMs != null && now - lastProposedAtMs < REPROPOSE_INTERVAL_MS)) {
+        || (lastProposedAtMs != null && nowMs - lastProposedAtMs < REPROPOSE_INTERVAL_MS)) {
       return;
     }
-    proposedAtMs.put(command, now);
-    propose(requests.nextToken(), command.toBytes(), now);
+    proposedAtMs.put(command, nowMs);
+    propose(requests.nextToken(), command.toBytes(), nowMs);
   }
 
-  private void proposeDraining(HeartbeatRequest request, long now) throws IOException {
+  private void proposeDraining(HeartbeatRequest request, long nowMs) throws IOException {
     boolean startsDraining =
         request.draining()
             && state
@@ -351,27 +351,27 @@
               MemberState.DRAINING,
               "plannedStop",
               request.nodeId()),
-          now);
+          nowMs);
     }
   }
 
-  private void handlePlatformList(PlatformList.Boxes boxes, long now) throws IOException {
+  private void handlePlatformList(PlatformList.Boxes boxes, long nowMs) throws IOException {
     for (PlatformList.Box box : boxes.boxes()) {
       Optional<AgentRow> row = state.agent(String.valueOf(box.agentId()));
       if (row.isPresent()) {
-        handleBox(box, row.get(), now);
+        handleBox(box, row.get(), nowMs);
       }
     }
   }
 
-  private void handleBox(PlatformList.Box box, AgentRow row, long now) throws IOException {
+  private void handleBox(PlatformList.Box box, AgentRow row, long nowMs) throws IOException {
     MemberState current = row.info().state();
     boolean undoesOwnDrain =
         current == MemberState.DRAINING && row.stateSource().equals("platform");
     if (box.isLeaving() && current == MemberState.LIVE) {
-      proposeOnce(platformChange(row, MemberState.DRAINING), now);
+      proposeOnce(platformChange(row, MemberState.DRAINING), nowMs);
     } else if (!box.isLeaving() && undoesOwnDrain) {
-      proposeOnce(platformChange(row, MemberState.LIVE), now);
+      proposeOnce(platformChange(row, MemberState.LIVE), nowMs);
     }
   }
 
@@ -380,22 +380,22 @@
         row.info().agentId(), row.info().incarnation(), newState, "platform", "platform");
   }
 
-  private void proposeDue(long now) throws IOException {
+  private void proposeDue(long nowMs) throws IOException {
     if (!replica.isLeader()) {
       return;
     }
-    for (Command command : liveness.dueCommands(state, now)) {
-      proposeOnce(command, now);
+    for (Command command : liveness.dueCommands(state, nowMs)) {
+      proposeOnce(command, nowMs);
     }
-    if (now - clockAdvancedAtMs >= CLOCK_INTERVAL_MS) {
-      clockAdvancedAtMs = now;
-      proposedAtMs.values().removeIf(at -> now - at > REPROPOSE_INTERVAL_MS);
-      propose(requests.nextToken(), new AdvanceClock(settings.retentionMs()).toBytes(), now);
+    if (nowMs - clockAdvancedAtMs >= CLOCK_INTERVAL_MS) {
+      clockAdvancedAtMs = nowMs;
+      proposedAtMs.values().removeIf(atMs -> nowMs - atMs > REPROPOSE_INTERVAL_MS);
+      propose(requests.nextToken(), new AdvanceClock(settings.retentionMs()).toBytes(), nowMs);
     }
   }
 
-  private void step(ReplicaEvent event, long now) throws IOException {
-    carryOut(replica.step(event, now));
+  private void step(ReplicaEvent event, long nowMs) throws IOException {
+    carryOut(replica.step(event, nowMs));
   }
 
   private void carryOut(List<ReplicaEffect> effects) throws IOException {
@@ -456,22 +456,22 @@
   }
 
   /** Announces this replica to the others and updates their addresses. */
-  private void discover(long now) {
+  private void discover(long nowMs) {
     discovery
-        .dueAnnounce(now)
+        .dueAnnounce(nowMs)
         .ifPresent(
             announce -> {
               links.sendToAll(announce);
-              links.reconnectSilent(now);
-              discovery.controlAddresses().forEach(address -> links.open(address, now));
+              links.reconnectSilent(nowMs);
+              discovery.controlAddresses().forEach(address -> links.open(address, nowMs));
               replica.knowAddresses(links.addresses());
             });
   }
 
-  private void handleAnnounce(ControlEvent.Announced announced, long now) {
-    links.recordReceived(announced.announce().self().address(), now);
+  private void handleAnnounce(ControlEvent.Announced announced, long nowMs) {
+    links.recordReceived(announced.announce().self().address(), nowMs);
     discovery.onAnnounce(
-        announced.sender(), announced.announce(), state.documents(), knownZones(), now);
+        announced.sender(), announced.announce(), state.documents(), knownZones(), nowMs);
   }
 
   private void apply(LogEntry entry) {
--- a/daemon/src/main/java/io/hingehoist/quorum/PlatformList.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/PlatformList.java
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The whole list. */
+  /** The complete list. */
   record Boxes(List<Box> boxes) {}
 
   private final String source;
--- a/daemon/src/main/java/io/hingehoist/wire/FrameConnection.java
+++ b/daemon/src/main/java/io/hingehoist/wire/FrameConnection.java
@@ -147,8 +147,7 @@
   private static Bytes readBody(DataInputStream in, int length) throws IOException {
     byte[] body = in.readNBytes(length);
     if (body.length < length) {
-      throw new IOException(
-          "connection closed within a frame: got " + body.length + " of " + length + " bytes");
+      throw new IOException("connection closed before the end of a frame");
     }
     return Bytes.copyOf(body);
   }
