--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -182,11 +182,11 @@
   private void carryOut(HostEffect effect) {
     switch (effect) {
       case HostEffect.CallStart call ->
-          workers.start(call, loop.andFlush(answer -> onStartAnswered(call, answer)));
+          workers.start(call, loop.andFlush(answer -> onStartCompleted(call, answer)));
       case HostEffect.CallStop call ->
-          workers.stop(call, loop.andFlush(answered -> onStopAnswered(call, answered)));
+          workers.stop(call, loop.andFlush(answered -> onStopCompleted(call, answered)));
       case HostEffect.CallHold call ->
-          workers.hold(call, loop.andFlush(answer -> onHoldAnswered(call, answer)));
+          workers.hold(call, loop.andFlush(answer -> onPollCompleted(call, answer)));
       case HostEffect.ForgetAddress forget -> workers.forget(forget.address());
       case HostEffect.ToOwner send -> owners.send(send.sessionId(), send.message());
       case HostEffect.CloseSession session -> owners.close(session.sessionId());
@@ -206,17 +206,17 @@
     }
   }
 
-  private void onStartAnswered(HostEffect.CallStart call, StartAnswer answer) {
+  private void onStartCompleted(HostEffect.CallStart call, StartAnswer answer) {
     checkSleep();
     host.startAnswered(call.lifeId(), call.run(), answer, EventLoop.nowMs());
   }
 
-  private void onStopAnswered(HostEffect.CallStop call, boolean answered) {
+  private void onStopCompleted(HostEffect.CallStop call, boolean answered) {
     checkSleep();
     host.stopAnswered(call.lifeId(), call.run(), answered, EventLoop.nowMs());
   }
 
-  private void onHoldAnswered(HostEffect.CallHold call, HoldAnswer answer) {
+  private void onPollCompleted(HostEffect.CallHold call, HoldAnswer answer) {
     checkSleep();
     host.holdAnswered(call.lifeId(), answer, EventLoop.nowMs());
   }
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
@@ -477,8 +477,8 @@
   private void apply(LogEntry entry) {
     CommandResult result = state.apply(entry);
     appliedIndex = entry.index();
-    countSettingsChange(result);
-    logDocumentChange(entry, result);
+    recordSettingsChange(result);
+    onDocumentApplied(entry, result);
     logZoneChange(entry, result);
     if (entry.kind() == EntryKind.COMMAND) {
       requests.onApplied(entry.index(), result);
@@ -486,7 +486,7 @@
     }
   }
 
-  private void logDocumentChange(LogEntry entry, CommandResult result) {
+  private void onDocumentApplied(LogEntry entry, CommandResult result) {
     if (result instanceof DocumentAccepted accepted && entry.kind() == EntryKind.COMMAND) {
       for (DocumentRow row : state.documents()) {
         if (row.version() == accepted.heldVersion()) {
@@ -508,7 +508,7 @@
     }
   }
 
-  private void countSettingsChange(CommandResult result) {
+  private void recordSettingsChange(CommandResult result) {
     switch (result) {
       case SettingsAccepted accepted -> {
         metrics.countSettingsChange("accepted");
--- a/daemon/src/main/java/io/hingehoist/wire/FrameLink.java
+++ b/daemon/src/main/java/io/hingehoist/wire/FrameLink.java
@@ -25,11 +25,15 @@
   private static final long CHECK_INTERVAL_MS = 500;
 
   /**
-   * The time without a received frame after which keep-alives are requested, about one a second.
+   * The time without a received frame after which a keep-alive is requested, which costs one small
+   * frame a second.
    */
   private static final long KEEP_ALIVE_AFTER_MS = 1_000;
 
-  /** The time without a received frame after which two keep-alives are missing. */
+  /**
+   * The time without a received frame after which the connection is closed: two requests for a
+   * keep-alive were not answered.
+   */
   private static final long SILENCE_TIMEOUT_MS = 2_300;
 
   private final String address;
