--- a/core/src/main/java/io/hingehoist/run/Decision.java
+++ b/core/src/main/java/io/hingehoist/run/Decision.java
@@ -1,12 +1,12 @@
 package io.hingehoist.run;
 
 /**
- * One decision, as the log shows it.
+ * One decision, as written to the log.
  *
- * @param event what was decided, such as {@code runOrdered}
- * @param job the job; empty for none
- * @param task the task; empty for none
- * @param where the host, worker or owner that it is about; empty for none
- * @param outcome the outcome, with the inputs that decided it
+ * @param event the kind of decision, such as {@code runOrdered}
+ * @param job the job id; empty for none
+ * @param task the task name; empty for none
+ * @param where the host, worker or owner concerned; empty for none
+ * @param outcome the outcome and the inputs that led to it
  */
 public record Decision(String event, String job, String task, String where, String outcome) {}
--- a/core/src/main/java/io/hingehoist/run/EvacuatedZonesView.java
+++ b/core/src/main/java/io/hingehoist/run/EvacuatedZonesView.java
@@ -4,43 +4,44 @@
 import java.util.Optional;
 
 /**
- * What a process knows of evacuated availability zones: of all that it heard, the highest version.
- * It is told by control replicas, and by other processes that learned of a change, so that a box
- * which reaches none of the replicas hears of it all the same. Not thread-safe.
+ * A process's view of the evacuated availability zones: the highest version that it has received.
+ * Versions come from control replicas and from other processes that received a newer one, so that a
+ * change also reaches a box without a connection to any replica. Not thread-safe.
  */
 public final class EvacuatedZonesView {
   private Optional<EvacuatedZones> known = Optional.empty();
-  private long learnedAtMs;
+  private long updatedAtMs;
 
   private EvacuatedZonesView() {}
 
-  /** Creates the knowledge of a process that has just started. */
+  /** Creates the view of a process that has just started. */
   public static EvacuatedZonesView create() {
     return new EvacuatedZonesView();
   }
 
   /**
-   * Takes what was heard. Returns whether it is news, which is to be passed on.
+   * Processes a received version. Returns whether it is newer than the known one, in which case the
+   * caller is to relay it.
    *
-   * @param nowMs a time of the same clock as those of {@link #ageMs}
+   * @param nowMs the current time, by the same clock as for {@link #ageMs}
    */
-  public boolean update(EvacuatedZones heard, long nowMs) {
-    boolean news = known.isEmpty() || heard.version() > known.get().version();
-    if (news) {
-      known = Optional.of(heard);
-      learnedAtMs = nowMs;
+  public boolean update(EvacuatedZones received, long nowMs) {
+    boolean isNewer = known.isEmpty() || received.version() > known.get().version();
+    if (isNewer) {
+      known = Optional.of(received);
+      updatedAtMs = nowMs;
     }
-    return news;
+    return isNewer;
   }
 
-  /** Returns the newest version that was heard of; empty if none was since the start. */
+  /** Returns the newest received version; empty if none was received since the start. */
   public Optional<EvacuatedZones> newest() {
     return known;
   }
 
   /**
-   * Returns whether a box of a zone may start tasks. One that has heard nothing since it started
-   * may not: its zone may have been evacuated while it was away.
+   * Returns whether a box of a zone may start tasks. A process that has not received a version
+   * since its start may not, as the zone may have been evacuated while it was down.
    */
   public boolean allowsStartsIn(String zone) {
     return known.filter(zones -> !zones.zones().contains(zone)).isPresent();
@@ -51,8 +52,8 @@
     return known.map(zones -> zones.zones().size()).orElse(0);
   }
 
-  /** Returns the time since the newest version was learned; 0 before the first. */
+  /** Returns the time since the newest version was received; 0 before the first. */
   public long ageMs(long nowMs) {
-    return known.isEmpty() ? 0 : nowMs - learnedAtMs;
+    return known.isEmpty() ? 0 : nowMs - updatedAtMs;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/HostRowsDecoder.java
+++ b/core/src/main/java/io/hingehoist/run/HostRowsDecoder.java
@@ -9,11 +9,11 @@
 import java.util.Optional;
 
 /**
- * What an owner was told of a host's workers on one connection, so that it can read the short form
- * that {@link HostRowsEncoder} sends. Not thread-safe.
+ * Decodes {@link HostRooms}, the short form of {@link HostRows} that {@link HostRowsEncoder} sends
+ * on one connection. Keeps the rows that were last received in full for this. Not thread-safe.
  */
 public final class HostRowsDecoder {
-  private List<WorkerRow> told = List.of();
+  private List<WorkerRow> baseline = List.of();
 
   private HostRowsDecoder() {}
 
@@ -22,19 +22,21 @@
     return new HostRowsDecoder();
   }
 
-  /** Takes rows that say who the workers are. */
+  /** Records rows that were received in full, to which later short forms refer. */
   public void recordFull(HostRows rows) {
-    told = rows.workers();
+    baseline = rows.workers();
   }
 
-  /** Returns the rows that a short form stands for; empty if it isn't of the workers told last. */
+  /**
+   * Returns the rows that a short form stands for; empty if the number of workers does not match.
+   */
   public Optional<HostRows> decode(HostRooms rooms) {
-    if (rooms.workers().size() != told.size()) {
+    if (rooms.workers().size() != baseline.size()) {
       return Optional.empty();
     }
     List<WorkerRow> rows = new ArrayList<>();
-    for (int i = 0; i < told.size(); i++) {
-      rows.add(withRoom(told.get(i), rooms.workers().get(i)));
+    for (int i = 0; i < baseline.size(); i++) {
+      rows.add(withRoom(baseline.get(i), rooms.workers().get(i)));
     }
     return Optional.of(new HostRows(rooms.lastOrder(), rows));
   }
--- a/core/src/main/java/io/hingehoist/run/HostRowsEncoder.java
+++ b/core/src/main/java/io/hingehoist/run/HostRowsEncoder.java
@@ -9,12 +9,15 @@
 import java.util.List;
 
 /**
- * What a host has sent of its workers on one connection: who they are is said once, then only what
- * changes as they run. Of the messages that an owner gets most are such rows, and most of a row is
- * names: 30 bytes in place of 130. The other end is {@link HostRowsDecoder}. Not thread-safe.
+ * Encodes a host's updates of its workers on one connection. The attributes that do not change
+ * while workers run are sent once, and after that only the free room and state of each worker.
+ *
+ * <p>Most of the messages that an owner receives are such updates, and most of a full row consists
+ * of names. The short form takes 30 bytes instead of 130. {@link HostRowsDecoder} is the
+ * counterpart. Not thread-safe.
  */
 public final class HostRowsEncoder {
-  private List<WorkerRow> said = List.of();
+  private List<WorkerRow> baseline = List.of();
 
   private HostRowsEncoder() {}
 
@@ -23,10 +26,10 @@
     return new HostRowsEncoder();
   }
 
-  /** Returns the shortest message that shows some rows to the other end. */
+  /** Returns the shortest message from which the other end can restore the rows. */
   public Message encode(HostRows rows) {
-    if (!areSaid(rows.workers())) {
-      said = rows.workers();
+    if (!matchesBaseline(rows.workers())) {
+      baseline = rows.workers();
       return rows;
     }
     List<WorkerRoom> rooms = new ArrayList<>();
@@ -36,13 +39,16 @@
     return new HostRooms(rows.lastOrder(), rooms);
   }
 
-  /** No worker at all is said in full as well, which is as short. */
-  private boolean areSaid(List<WorkerRow> rows) {
-    if (rows.isEmpty() || rows.size() != said.size()) {
+  /**
+   * Returns whether only free room and state differ from the rows sent in full. An empty list is
+   * always sent in full, which is as short.
+   */
+  private boolean matchesBaseline(List<WorkerRow> rows) {
+    if (rows.isEmpty() || rows.size() != baseline.size()) {
       return false;
     }
     for (int i = 0; i < rows.size(); i++) {
-      if (!isSameWorker(rows.get(i), said.get(i))) {
+      if (!isSameWorker(rows.get(i), baseline.get(i))) {
         return false;
       }
     }
--- a/core/src/main/java/io/hingehoist/run/JobEnd.java
+++ b/core/src/main/java/io/hingehoist/run/JobEnd.java
@@ -1,20 +1,20 @@
 package io.hingehoist.run;
 
-/** How a best-effort job ended for its caller. */
+/** The way in which a best-effort job ended for its caller. */
 public sealed interface JobEnd {
 
-  /** Every task has ended well. */
+  /** Every task ended successfully. */
   record Completed() implements JobEnd {}
 
-  /** The job ran, and will not be completed. */
+  /** The job ran, but will not be completed. */
   record Failed(String reason) implements JobEnd {}
 
-  /** Its caller ended it. */
+  /** The caller cancelled the job. */
   record Cancelled() implements JobEnd {}
 
-  /** No task was started, and none will be; the caller may come back after a time. */
+  /** No task was started and none will be; the caller may retry after the given time. */
   record Refused(String reason, long retryAfterMs) implements JobEnd {}
 
-  /** The owner can't go on with it; runs that it had ordered end by their leases. */
+  /** The owner cannot continue the job; runs that it had ordered end when their leases expire. */
   record Dropped(String reason) implements JobEnd {}
 }
--- a/core/src/main/java/io/hingehoist/run/JobPlan.java
+++ b/core/src/main/java/io/hingehoist/run/JobPlan.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A best-effort job as its caller handed it in, with the rules of its queue.
+ * A best-effort job as its caller submitted it, with the settings of its queue.
  *
- * @param jobId the caller's name for it
- * @param queue the queue that it came by, for logs and counts
- * @param service the service whose workers run it
- * @param spec the text that each start brings
- * @param priority 0 goes first
- * @param attempts the failed runs of one task after which the job fails
- * @param objectiveMs the time in which the caller hopes for the answer
- * @param expiresAfterMs the time after which the answer is worth nothing
- * @param steps the steps, each after those that it names
+ * @param jobId the id that the caller chose
+ * @param queue the queue that the job was submitted to, for logs and metrics
+ * @param service the service whose workers run the job
+ * @param spec the specification that is passed to the worker with each start
+ * @param priority the priority; 0 is the most urgent
+ * @param attempts the number of failed runs of one task after which the job fails
+ * @param objectiveMs the time within which the caller wants the answer
+ * @param expiresAfterMs the time after which the answer is of no use
+ * @param steps the steps, each with the indices of the steps that it depends on
  */
 public record JobPlan(
     String jobId,
@@ -26,7 +26,7 @@
     long expiresAfterMs,
     List<StepPlan> steps) {
 
-  /** Copies the list. */
+  /** Copies the list of steps. */
   public JobPlan {
     steps = List.copyOf(steps);
   }
--- a/core/src/main/java/io/hingehoist/run/OpenRuns.java
+++ b/core/src/main/java/io/hingehoist/run/OpenRuns.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 
 /**
- * The runs of one session that its owner ordered and that are not reported over.
+ * The runs of one session that its owner has ordered and whose end has not been reported.
  *
- * <p>Few pairs of an owner and a host have one at any moment. Only where there is one does the
- * owner renew its lease at short intervals, and only there is a silent connection noticed at once;
- * the others say little, so that messages don't grow with the product of owners and hosts. Not
+ * <p>At any time few pairs of an owner and a host share such a run. Only these pairs renew the
+ * owner's lease at short intervals and detect a silent connection quickly. All other pairs exchange
+ * few messages, as their number would otherwise grow with the product of owners and hosts. Not
  * thread-safe.
  */
 public final class OpenRuns {
@@ -21,13 +21,13 @@
 
   private OpenRuns() {}
 
-  /** Creates the runs of a new session. */
+  /** Creates the empty set of a new session. */
   public static OpenRuns create() {
     return new OpenRuns();
   }
 
-  /** Takes note of a message of the session, sent or received, once. */
-  public void record(Message message) {
+  /** Processes a message of the session; called once for each message sent or received. */
+  public void apply(Message message) {
     switch (message) {
       case StartRuns order -> runs.addAll(order.runs());
       case RunEnded report -> runs.remove(report.run());
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Returns whether nothing that was ordered may be going on. */
+  /** Returns whether no ordered run can be active. */
   public boolean isEmpty() {
     return runs.isEmpty();
   }
--- a/core/src/main/java/io/hingehoist/run/RunTiming.java
+++ b/core/src/main/java/io/hingehoist/run/RunTiming.java
@@ -1,77 +1,80 @@
 package io.hingehoist.run;
 
 /**
- * The times on which owners and hosts must agree, in milliseconds.
+ * The time limits that owners and hosts must agree on, in milliseconds.
  *
- * @param ownerLeaseMs the silence of an owner after which its host stops its runs
- * @param workerLeaseMs the longest time that a worker runs on after its host's last call
- * @param killGraceMs the time that a worker takes to end a run
+ * @param ownerLeaseMs the time without contact to an owner after which a host stops the owner's
+ *     runs
+ * @param workerLeaseMs the maximum time that a worker continues its runs after its host's last call
+ * @param killGraceMs the time that a worker needs to end a run
  */
 public record RunTiming(long ownerLeaseMs, long workerLeaseMs, long killGraceMs) {
-  /** A worker's clock may run slow by two in a hundred. */
-  private static final double SLOWEST_CLOCK = 1.02;
+  /** A worker's clock may be slow by up to 2 percent, which makes its lease longer in real time. */
+  private static final double MAX_LEASE_STRETCH = 1.02;
 
-  /** Time for a stop to be carried out by a host that is well, beyond the worker's own. */
+  /** The time that a healthy host needs to carry out a stop, in addition to the worker's own. */
   private static final long STOP_MARGIN_MS = 100;
 
   /**
-   * The longest lease that a host asks for: long enough for some lost renewals, and short to wait
-   * for.
+   * The longest worker lease that a host requests. It outlasts several lost renewals, yet is short
+   * enough to wait for its expiry.
    */
-  private static final long LONGEST_LEASE_MS = 800;
+  private static final long MAX_WORKER_LEASE_MS = 800;
 
   /**
-   * The period of an owner's heartbeats to a host where runs of it may be going on. A lease of 650
-   * ms is left with 450 for a silent connection to be noticed (300) and replaced.
+   * The period of an owner's heartbeats to a host where runs of it may be active. With a lease of
+   * 650 ms this leaves 450 ms to detect a silent connection (300 ms) and to replace it.
    */
   public static final long HEARTBEAT_PERIOD_MS = 200;
 
   /**
-   * The same where nothing of the owner runs, so that no lease needs to be renewed: most pairs of a
-   * large fleet share no run, and their heartbeats would grow with the product of both.
+   * The period of heartbeats to a host where no run of the owner is active, so that no lease needs
+   * renewal. Most pairs of an owner and a host in a large fleet share no run, and their heartbeats
+   * grow with the product of owners and hosts.
    */
   public static final long IDLE_HEARTBEAT_PERIOD_MS = 1_000;
 
-  /** A session without runs is over after two lost heartbeats and 500 ms for what holds one up. */
+  /** A session without runs ends after two lost heartbeats and a margin of 500 ms for delays. */
   public static final long IDLE_SESSION_TIMEOUT_MS = 2 * IDLE_HEARTBEAT_PERIOD_MS + 500;
 
   /**
-   * Returns the times that follow from those of a platform.
+   * Returns the time limits that follow from those of a platform.
    *
-   * @param resubmitAfterMs when a caller brings the same job to another owner: half of it, so that
-   *     the runs of the first are over by then
-   * @param longestWorkerLeaseMs the longest lease that workers take
+   * @param resubmitAfterMs the time after which a caller submits the same job to another owner; the
+   *     owner lease is half of it, so that the runs of the first owner have ended by then
+   * @param longestWorkerLeaseMs the longest lease that workers accept
    */
   public static RunTiming of(
       double resubmitAfterMs, double longestWorkerLeaseMs, double killGraceMs) {
     long ownerLeaseMs = (long) (resubmitAfterMs / 2);
-    long workerLeaseMs = Math.min(LONGEST_LEASE_MS, (long) longestWorkerLeaseMs);
+    long workerLeaseMs = Math.min(MAX_WORKER_LEASE_MS, (long) longestWorkerLeaseMs);
     return new RunTiming(ownerLeaseMs, workerLeaseMs, (long) Math.ceil(killGraceMs));
   }
 
-  /** Returns the time after a host's last call at which everything on its worker is over. */
+  /** Returns the time after a host's last call by which all runs on the worker have ended. */
   public long workerRunsOverAfterMs() {
-    return (long) Math.ceil(workerLeaseMs * SLOWEST_CLOCK) + killGraceMs;
+    return (long) Math.ceil(workerLeaseMs * MAX_LEASE_STRETCH) + killGraceMs;
   }
 
   /**
-   * Returns the lease, by a worker's clock, after which everything there is over within a time;
-   * never longer than the usual one.
+   * Returns the longest lease, by a worker's clock, that ensures the end of all its runs within a
+   * given time; at most the regular worker lease.
    */
-  public long workerLeaseEndingWithinMs(long overAfterMs) {
-    return overAfterMs >= workerRunsOverAfterMs()
+  public long workerLeaseEndingWithinMs(long limitMs) {
+    return limitMs >= workerRunsOverAfterMs()
         ? workerLeaseMs
-        : (long) Math.floor((overAfterMs - killGraceMs) / SLOWEST_CLOCK);
+        : (long) Math.floor((limitMs - killGraceMs) / MAX_LEASE_STRETCH);
   }
 
   /**
-   * Returns the time after a broken session at which its runs are over: the host is well or dead.
+   * Returns the time after a broken session by which its runs have ended. The host either is
+   * healthy and stops them, or is dead and no longer renews the leases of its workers.
    */
   public long runsOverAfterDisconnectMs() {
     return workerRunsOverAfterMs() + STOP_MARGIN_MS;
   }
 
-  /** Returns the time after an owner gave up a silent host at which its runs there are over. */
+  /** Returns the time after an owner gives up a silent host by which its runs there have ended. */
   public long runsOverAfterSilenceMs() {
     return ownerLeaseMs + runsOverAfterDisconnectMs();
   }
--- a/core/src/main/java/io/hingehoist/run/SessionStream.java
+++ b/core/src/main/java/io/hingehoist/run/SessionStream.java
@@ -13,18 +13,19 @@
 import java.util.Optional;
 
 /**
- * One end of a session between an owner and a host: the messages that must arrive once and in
- * order, whichever connection carries them.
+ * One end of a session between an owner and a host, which delivers messages exactly once and in
+ * order across successive connections.
  *
- * <p>A connection may fall silent without a word, with orders and ends on their way. Each end
- * counts what it sends and what it gets, and keeps what the other has not acknowledged; on the next
- * connection each says how much it has, and gets the rest. Only messages that are said once count:
- * rows, heartbeats and what waits are said again anyway. What is kept is bounded by the lease,
- * after which the session is over. Not thread-safe.
+ * <p>A connection may fail without notice while orders and reports of ended runs are in flight.
+ * Each end therefore counts the messages that it sends and receives, and keeps those that the other
+ * end has not acknowledged. On the next connection each end states how many it has received, and
+ * the other sends the rest. Only messages that are sent once take part; rows, heartbeats and
+ * waiting tasks are sent repeatedly anyway. The number of kept messages is bounded because the
+ * session ends with the lease. Not thread-safe.
  */
 public final class SessionStream {
-  /** After how many messages an acknowledgement is due: so few are kept, and one in 32 is added. */
-  private static final int ACK_AFTER = 32;
+  /** Bounds the number of kept messages at the cost of one more message in 32. */
+  private static final int MESSAGES_PER_ACK = 32;
 
   private final Deque<Message> unacknowledged = new ArrayDeque<>();
   private long sentCount;
@@ -38,42 +39,42 @@
     return new SessionStream();
   }
 
-  /** Notes a message that is sent, on a connection or on the next one. */
+  /** Records a message that is sent on the current connection or, if there is none, on the next. */
   public void recordSent(Message message) {
-    if (counts(message)) {
+    if (isSequenced(message)) {
       unacknowledged.add(message);
       sentCount++;
     }
   }
 
-  /** Notes a message that came; returns an acknowledgement where one is due. */
+  /** Records a received message; returns an acknowledgement if one is due. */
   public Optional<SessionAck> recordReceived(Message message) {
-    if (!counts(message)) {
+    if (!isSequenced(message)) {
       return Optional.empty();
     }
     receivedCount++;
-    if (receivedCount - acknowledgedCount < ACK_AFTER) {
+    if (receivedCount - acknowledgedCount < MESSAGES_PER_ACK) {
       return Optional.empty();
     }
     acknowledgedCount = receivedCount;
     return Optional.of(new SessionAck(receivedCount));
   }
 
-  /** Returns how many counted messages have come. */
+  /** Returns the number of sequenced messages that were received. */
   public long receivedCount() {
     return receivedCount;
   }
 
-  /** Returns how many messages are kept for another connection. */
+  /** Returns the number of messages that the other end has not acknowledged. */
   public int unacknowledgedCount() {
     return unacknowledged.size();
   }
 
   /**
-   * Forgets what the other end has.
+   * Discards the messages that the other end has received.
    *
-   * @param receivedByOther how many counted messages of this end have come there
-   * @return false if that is more than were sent, so that it is not of this session
+   * @param receivedByOther the number of sequenced messages of this end that arrived there
+   * @return false if that is more than were sent, so that it cannot belong to this session
    */
   public boolean recordAcknowledged(long receivedByOther) {
     if (receivedByOther > sentCount) {
@@ -90,7 +91,7 @@
     return List.copyOf(unacknowledged);
   }
 
-  private static boolean counts(Message message) {
+  private static boolean isSequenced(Message message) {
     return message instanceof StartRuns
         || message instanceof StopRun
         || message instanceof RunEnded
--- a/core/src/main/java/io/hingehoist/run/SilenceTimeouts.java
+++ b/core/src/main/java/io/hingehoist/run/SilenceTimeouts.java
@@ -1,59 +1,60 @@
 package io.hingehoist.run;
 
 /**
- * How long nothing may be heard on a connection of a session until it counts as silent and another
- * one takes its place.
+ * Provides the time without messages after which a connection of a session is considered silent and
+ * is replaced.
  *
- * <p>Two loads pull apart: connections that fall silent without a word, where each 100 ms count,
- * and processes that have just started, most of them together after a loss of power, whose
- * heartbeats come late as their code is cold. To replace connections then costs them what they
- * lack. So a session is given more time in its first seconds, within the lease of its runs.
+ * <p>The values balance two requirements. A connection that fails without notice must be replaced
+ * quickly, where each 100 ms counts. But processes that have just started, often many at once after
+ * a power failure, send late heartbeats because their code is not yet compiled, and replacing their
+ * connections costs them processing time that they lack. A session therefore has a longer timeout
+ * in its first seconds, which is still within the lease of its runs.
  */
 public final class SilenceTimeouts {
-  /** By then the code of a process that started has run often enough to keep its times. */
-  private static final long EARLY_MS = 3_000;
+  /** By this session age the code of a new process is compiled and its heartbeats are punctual. */
+  private static final long STARTUP_PERIOD_MS = 3_000;
 
-  /** Within the lease of an owner's runs, less one heartbeat and its way. */
-  private static final long EARLY_AFTER_MS = 550;
+  /** Leaves time to send and deliver one heartbeat within the lease of an owner's runs. */
+  private static final long STARTUP_TIMEOUT_MS = 550;
 
-  /** The owner's period and 100 ms for what holds a heartbeat up. */
-  private static final long OWNER_AFTER_MS = RunTiming.HEARTBEAT_PERIOD_MS + 100;
+  /** The owner's heartbeat period plus 100 ms for delays. */
+  private static final long OWNER_TIMEOUT_MS = RunTiming.HEARTBEAT_PERIOD_MS + 100;
 
-  /** The same where nothing of the owner runs, with as much for a slow owner as for its lease. */
-  private static final long IDLE_OWNER_AFTER_MS = RunTiming.IDLE_HEARTBEAT_PERIOD_MS + 300;
+  /** The same without active runs, with the margin for a slow owner that its lease has too. */
+  private static final long IDLE_OWNER_TIMEOUT_MS = RunTiming.IDLE_HEARTBEAT_PERIOD_MS + 300;
 
   /**
-   * Hosts answer each heartbeat, but for those that come within 100 ms of rows that were shown, and
-   * 50 ms for what holds them up.
+   * The heartbeat period plus 150 ms. Hosts answer each heartbeat unless they sent rows within the
+   * last 100 ms, and 50 ms are for delays.
    */
-  private static final long HOST_AFTER_MS = RunTiming.HEARTBEAT_PERIOD_MS + 150;
+  private static final long HOST_TIMEOUT_MS = RunTiming.HEARTBEAT_PERIOD_MS + 150;
 
-  /** The same where nothing of the owner runs. */
-  private static final long IDLE_HOST_AFTER_MS = RunTiming.IDLE_HEARTBEAT_PERIOD_MS + 350;
+  /** The same without active runs. */
+  private static final long IDLE_HOST_TIMEOUT_MS = RunTiming.IDLE_HEARTBEAT_PERIOD_MS + 350;
 
   private SilenceTimeouts() {}
 
   /**
-   * Returns after which silence of an owner its host opens another connection.
+   * Returns the time without messages from an owner after which its host opens another connection.
    *
-   * @param idle whether nothing of the owner runs there
-   * @param ageMs the time since the session began
+   * @param idle whether the owner has no active runs at the host
+   * @param ageMs the time since the session opened
    */
   public static long forOwnerMs(boolean idle, long ageMs) {
-    return idle ? IDLE_OWNER_AFTER_MS : early(OWNER_AFTER_MS, ageMs);
+    return idle ? IDLE_OWNER_TIMEOUT_MS : withStartupTimeout(OWNER_TIMEOUT_MS, ageMs);
   }
 
   /**
-   * Returns after which silence of a host its owner gives it nothing new.
+   * Returns the time without messages from a host after which its owner gives it no new orders.
    *
-   * @param idle whether nothing of the owner runs there
-   * @param ageMs the time since the session began
+   * @param idle whether the owner has no active runs at the host
+   * @param ageMs the time since the session opened
    */
   public static long forHostMs(boolean idle, long ageMs) {
-    return idle ? IDLE_HOST_AFTER_MS : early(HOST_AFTER_MS, ageMs);
+    return idle ? IDLE_HOST_TIMEOUT_MS : withStartupTimeout(HOST_TIMEOUT_MS, ageMs);
   }
 
-  private static long early(long afterMs, long ageMs) {
-    return ageMs < EARLY_MS ? EARLY_AFTER_MS : afterMs;
+  private static long withStartupTimeout(long timeoutMs, long ageMs) {
+    return ageMs < STARTUP_PERIOD_MS ? STARTUP_TIMEOUT_MS : timeoutMs;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/TaskNames.java
+++ b/core/src/main/java/io/hingehoist/run/TaskNames.java
@@ -1,6 +1,8 @@
 package io.hingehoist.run;
 
-/** Static helpers for the names of tasks: job, step and index, separated by dots. */
+/**
+ * Static utility methods for task names, which consist of job id, step and index with dots between.
+ */
 public final class TaskNames {
   private TaskNames() {}
 
@@ -9,7 +11,7 @@
     return jobId + '.' + step + '.' + index;
   }
 
-  /** Returns the job that a task belongs to. */
+  /** Returns the id of the job that a task belongs to. */
   public static String jobIdOf(String task) {
     int dot = task.indexOf('.');
     return dot < 0 ? task : task.substring(0, dot);
--- a/core/src/main/java/io/hingehoist/run/load/FollowedHostCount.java
+++ b/core/src/main/java/io/hingehoist/run/load/FollowedHostCount.java
@@ -1,61 +1,63 @@
 package io.hingehoist.run.load;
 
 /**
- * How many hosts an owner follows closely, so that a caller's wait does not depend on the box that
- * its connection came to.
+ * Determines how many hosts an owner follows, so that the waiting time of a caller does not depend
+ * on the owner that its connection reaches.
  *
- * <p>The load that it answers: owners of which one has several times the callers of another, near
- * all of the room. Hosts offer room that becomes free to the owners that follow them; with as many
- * hosts as the others, a busy owner is offered as much room as they are. So each follows hosts in
- * proportion to the room that its work takes. What waits says nothing here: in a general lack of
- * room all would follow more, and get in each other's way. Not thread-safe.
+ * <p>The policy covers owners with very different numbers of callers while nearly all room is in
+ * use. Hosts offer room that becomes free to the owners that follow them. If a busy owner followed
+ * as many hosts as the others, it would be offered as much room as they are. Each owner therefore
+ * follows hosts in proportion to the room that its runs use. The number of its waiting tasks is not
+ * considered: if room is short everywhere, all owners would follow more hosts and compete for the
+ * same room. Not thread-safe.
  */
 public final class FollowedHostCount {
-  /** Followed room as a multiple of the room that is taken: most of it is taken by others. */
-  private static final double ROOM_FACTOR = 3;
+  /** The followed room as a multiple of the used room, as other owners use most of each host. */
+  private static final double FOLLOWED_ROOM_FACTOR = 3;
 
-  /** What an owner may follow, as a multiple of its usual number: each costs messages. */
-  private static final int MAX_FACTOR = 3;
+  /** The maximum count as a multiple of the base count, as each followed host costs messages. */
+  private static final int MAX_COUNT_FACTOR = 3;
 
-  /** The weight of one look in the mean, so that it follows the load within a second. */
-  private static final double WEIGHT = 0.1;
+  /** The weight of one sample in the moving mean, which follows the load within a second. */
+  private static final double SAMPLE_WEIGHT = 0.1;
 
-  /** Changes below it are left out, as hosts are told of each. */
-  private static final int MIN_CHANGE = 2;
+  /** Smaller changes are ignored, as each change costs messages to hosts. */
+  private static final int MIN_CHANGE_HOSTS = 2;
 
-  private final int usual;
+  private final int baseCount;
   private int count;
   private double meanHosts;
 
-  private FollowedHostCount(int usual) {
-    this.usual = usual;
-    this.count = usual;
+  private FollowedHostCount(int baseCount) {
+    this.baseCount = baseCount;
+    this.count = baseCount;
   }
 
   /**
    * Creates the count of an owner without work.
    *
-   * @param usual the least number of hosts to follow, at least 1
+   * @param baseCount the minimum number of hosts to follow, at least 1
    */
-  public static FollowedHostCount of(int usual) {
-    return new FollowedHostCount(usual);
+  public static FollowedHostCount of(int baseCount) {
+    return new FollowedHostCount(baseCount);
   }
 
-  /** Returns how many hosts to follow now. */
+  /** Returns the number of hosts to follow. */
   public int count() {
     return count;
   }
 
   /**
-   * Looks at the room that work takes; called at short intervals.
+   * Adds a sample of the room in use; called at short intervals.
    *
-   * @param takenHosts the room that this owner's runs take, in hosts of mean size
+   * @param usedHosts the room that this owner's runs use, as a number of hosts of mean capacity
    */
-  public void sample(double takenHosts) {
-    meanHosts += WEIGHT * (takenHosts - meanHosts);
-    double wanted = Math.min(ROOM_FACTOR * meanHosts, (double) usual * MAX_FACTOR);
-    int next = (int) Math.max(usual, Math.round(wanted));
-    if (Math.abs((long) next - count) >= MIN_CHANGE || next == usual) {
+  public void sample(double usedHosts) {
+    meanHosts += SAMPLE_WEIGHT * (usedHosts - meanHosts);
+    double targetCount =
+        Math.min(FOLLOWED_ROOM_FACTOR * meanHosts, (double) baseCount * MAX_COUNT_FACTOR);
+    int next = (int) Math.max(baseCount, Math.round(targetCount));
+    if (Math.abs((long) next - count) >= MIN_CHANGE_HOSTS || next == baseCount) {
       count = next;
     }
   }
--- a/core/src/main/java/io/hingehoist/run/load/RefusalPolicy.java
+++ b/core/src/main/java/io/hingehoist/run/load/RefusalPolicy.java
@@ -3,67 +3,70 @@
 import java.util.Optional;
 
 /**
- * Turns away jobs that wait in vain, as soon as that is known: a caller that is refused late has
- * lost the time to go elsewhere.
+ * Decides which waiting jobs to refuse because they are unlikely to be answered in time. Jobs are
+ * refused as early as this is known, since a late refusal leaves the caller no time to go
+ * elsewhere.
  *
- * <p>It answers two loads: more work than room, where what is not begun by a part of its time
- * hardly ever earns anything afterwards; and no worker at all, as after a loss of power.
+ * <p>The policy covers two situations: overload, where a job that has not started within a fraction
+ * of its time is hardly ever answered in time; and the absence of workers, as after a power
+ * failure.
  */
 public final class RefusalPolicy {
   private static final long RETRY_AFTER_MS = 1_000;
 
-  /**
-   * Of the time after which an answer is worth nothing, how long a job waits for its first start.
-   */
-  private static final double UNBEGUN_SHARE = 0.4;
+  /** The fraction of the time to its expiry that a job may wait for its first start. */
+  private static final double MAX_UNSTARTED_SHARE = 0.4;
 
-  /** After so long without any worker, jobs are refused that can't wait for one to be found. */
-  private static final long WITHOUT_WORKERS_MS = 250;
+  /** After this time without workers, jobs are refused that expire too soon to wait for one. */
+  private static final long MAX_WITHOUT_WORKERS_MS = 250;
 
-  /** What is of use after this time may wait: by then workers are found after a loss of power. */
-  private static final long PATIENCE_WITHOUT_WORKERS_MS = 2_000;
+  /**
+   * Jobs that expire later than this may wait without workers: after a power failure, workers are
+   * found within this time.
+   */
+  private static final long MIN_EXPIRY_TO_WAIT_MS = 2_000;
 
   /**
-   * A refusal of a job of which nothing has run.
+   * The refusal of a job that has not started.
    *
-   * @param retryAfterMs the time after which another try is of use
+   * @param retryAfterMs the time after which a retry is worthwhile
    */
   public record Refusal(String reason, long retryAfterMs) {}
 
   /**
-   * How long workers must be known before a task counts as wider than all of them: a process that
-   * has just started meets its hosts within this time.
+   * How long workers must be known before a task is considered too large for all of them. A process
+   * that has just started connects to its hosts within this time.
    */
-  private static final long FLEET_KNOWN_AFTER_MS = 2_000;
+  private static final long FLEET_DISCOVERY_MS = 2_000;
 
   private RefusalPolicy() {}
 
   /**
-   * Returns why a job is to be refused that has a task which fits no known worker, even an empty
-   * one; empty if the fleet is not known long enough to say so.
+   * Returns the refusal of a job with a task that fits no known worker, even an empty one; empty if
+   * the fleet has not been known long enough to refuse the job.
    *
-   * @param fleetKnownForMs the time since a worker was first known
+   * @param fleetKnownForMs the time since the first worker was known
    */
   public static Optional<Refusal> refusalOfOversized(long fleetKnownForMs) {
-    return fleetKnownForMs < FLEET_KNOWN_AFTER_MS
+    return fleetKnownForMs < FLEET_DISCOVERY_MS
         ? Optional.empty()
-        : Optional.of(new Refusal("wider than every worker", RETRY_AFTER_MS));
+        : Optional.of(new Refusal("a task needs more room than any worker has", RETRY_AFTER_MS));
   }
 
   /**
-   * Returns why a job that was not started is to be refused now; empty if it may go on waiting.
+   * Returns the refusal of a job that has not started; empty if the job may continue to wait.
    *
-   * @param waitedMs the time since it was taken
-   * @param expiresAfterMs the time after which its answer is worth nothing
-   * @param withoutWorkersMs the time since a worker was last known that takes runs
+   * @param waitedMs the time since the job was accepted
+   * @param expiresAfterMs the time after which its answer is of no use
+   * @param withoutWorkersMs the time since a worker that accepts runs was last known
    */
   public static Optional<Refusal> refusalOfUnstarted(
       long waitedMs, long expiresAfterMs, long withoutWorkersMs) {
-    if (waitedMs >= UNBEGUN_SHARE * expiresAfterMs) {
-      return Optional.of(new Refusal("no room in time", RETRY_AFTER_MS));
+    if (waitedMs >= MAX_UNSTARTED_SHARE * expiresAfterMs) {
+      return Optional.of(new Refusal("no worker had room in time", RETRY_AFTER_MS));
     }
-    if (expiresAfterMs < PATIENCE_WITHOUT_WORKERS_MS && withoutWorkersMs >= WITHOUT_WORKERS_MS) {
-      return Optional.of(new Refusal("no worker is known", RETRY_AFTER_MS));
+    if (expiresAfterMs < MIN_EXPIRY_TO_WAIT_MS && withoutWorkersMs >= MAX_WITHOUT_WORKERS_MS) {
+      return Optional.of(new Refusal("no worker available", RETRY_AFTER_MS));
     }
     return Optional.empty();
   }
--- a/core/src/main/java/io/hingehoist/run/load/UrgentReservation.java
+++ b/core/src/main/java/io/hingehoist/run/load/UrgentReservation.java
@@ -4,80 +4,85 @@
 import java.util.Map;
 
 /**
- * A share of all room that long work leaves to shorter, more urgent work.
+ * A share of all room that is reserved for urgent, short work and not available to long work.
  *
- * <p>The load that it answers: a burst of long tasks of the last priority while there is too little
- * room. A run is not taken back, so each gap in the urgent work lets a long task in that then holds
- * its room for many times the length of the urgent ones, whose callers are turned away. With the
- * reservation they are served, and long work comes later, or late; that is for operators to choose,
- * so without the setting nothing is kept. Work that is begun goes on. Not thread-safe.
+ * <p>The policy covers a burst of long tasks of the lowest priority under overload. Runs are not
+ * preempted, so each gap in the urgent work lets in a long task, which then occupies its room for
+ * many times the length of the urgent tasks, whose callers are refused. The reservation serves
+ * these callers at the cost of delaying long work, possibly beyond its objective. Operators have to
+ * make this choice, so without the setting nothing is reserved. Jobs that have started are not
+ * delayed. Not thread-safe.
  */
 public final class UrgentReservation {
   /**
-   * Tasks that take so many times as long as more urgent ones count as long. Queues are compared,
-   * as single estimates are rough.
+   * Tasks that take at least this many times as long as more urgent ones count as long. Means over
+   * each priority are compared, as single estimates are rough.
    */
   private static final double LONG_FACTOR = 2;
 
-  /** Urgent work that has not come for so long needs no room kept. */
-  private static final long RECENT_MS = 5_000;
+  /** Without arrivals for this time, a priority is ignored and needs no reserved room. */
+  private static final long MAX_ARRIVAL_AGE_MS = 5_000;
 
-  private static final double WEIGHT = 0.05;
+  private static final double SAMPLE_WEIGHT = 0.05;
 
-  private static final class Queue {
+  private static final class PriorityStats {
     private double meanRunMs;
-    private long cameAtMs;
+    private long lastArrivalAtMs;
   }
 
   private final double share;
-  private final Map<Integer, Queue> byPriority = new HashMap<>();
+  private final Map<Integer, PriorityStats> byPriority = new HashMap<>();
 
   private UrgentReservation(double share) {
     this.share = share;
   }
 
   /**
-   * Returns a reservation.
+   * Creates a reservation.
    *
-   * @param percent of all room, 0 for none
+   * @param percent the reserved percentage of all room; 0 for none
    */
   public static UrgentReservation ofPercent(int percent) {
     return new UrgentReservation(percent / 100.0);
   }
 
-  /** Notes work that came, and the time that a task of it is expected to run. */
-  public void noteArrival(int priority, double runMs, long nowMs) {
-    Queue queue = byPriority.computeIfAbsent(priority, p -> new Queue());
-    queue.meanRunMs = queue.cameAtMs == 0 ? runMs : mean(queue.meanRunMs, runMs);
-    queue.cameAtMs = nowMs;
+  /** Records the arrival of a task and its expected run time. */
+  public void recordArrival(int priority, double runMs, long nowMs) {
+    PriorityStats stats = byPriority.computeIfAbsent(priority, p -> new PriorityStats());
+    stats.meanRunMs = stats.lastArrivalAtMs == 0 ? runMs : mean(stats.meanRunMs, runMs);
+    stats.lastArrivalAtMs = nowMs;
   }
 
   private static double mean(double before, double next) {
-    return before + WEIGHT * (next - before);
+    return before + SAMPLE_WEIGHT * (next - before);
   }
 
   /**
-   * Returns whether a task must wait, as what is free is kept for others.
+   * Returns whether a task must wait because the free room is reserved for more urgent work.
    *
-   * @param isBegun whether a task of its job may have started
-   * @param freeShare the share of all room that is free
+   * @param isStarted whether a task of its job may have started
+   * @param freeShare the free share of all room
    */
-  public boolean holdsBack(int priority, boolean isBegun, double freeShare, long nowMs) {
-    return !isBegun && freeShare < share && isLongBesideUrgent(priority, nowMs);
+  public boolean mustWait(int priority, boolean isStarted, double freeShare, long nowMs) {
+    return !isStarted && freeShare < share && isLongBesideUrgent(priority, nowMs);
   }
 
-  /** Returns whether nothing is ever kept, so that the free share need not be known. */
-  public boolean isNone() {
+  /** Returns whether nothing is reserved, so that the free share need not be computed. */
+  public boolean isDisabled() {
     return share == 0;
   }
 
-  /** Only the least urgent work is held back: what lies between would lose more than it leaves. */
+  /**
+   * Returns whether a priority is the least urgent one and its tasks are long compared with more
+   * urgent ones. Priorities in between are not restricted, as they would lose more than the urgent
+   * work gains.
+   */
   private boolean isLongBesideUrgent(int priority, long nowMs) {
-    Queue own = byPriority.get(priority);
+    PriorityStats own = byPriority.get(priority);
     boolean longer = false;
-    for (Map.Entry<Integer, Queue> entry : byPriority.entrySet()) {
-      Queue other = entry.getValue();
-      boolean isRecent = nowMs - other.cameAtMs < RECENT_MS;
+    for (Map.Entry<Integer, PriorityStats> entry : byPriority.entrySet()) {
+      PriorityStats other = entry.getValue();
+      boolean isRecent = nowMs - other.lastArrivalAtMs < MAX_ARRIVAL_AGE_MS;
       if (isRecent && entry.getKey() > priority) {
         return false;
       }
--- a/core/src/main/java/io/hingehoist/run/load/WaitingOrder.java
+++ b/core/src/main/java/io/hingehoist/run/load/WaitingOrder.java
@@ -1,14 +1,14 @@
 package io.hingehoist.run.load;
 
 /**
- * The order in which work gets room while there is too little: strictly by priority, and first come
- * first served within one, so that the tasks of one job come one after another and a job once begun
- * is finished before later ones begin.
+ * The order in which waiting work gets room: strictly by priority, and within a priority by
+ * arrival. The tasks of one job are thus adjacent, and a job that has started is finished before
+ * later ones start.
  */
 public final class WaitingOrder {
   private WaitingOrder() {}
 
-  /** Compares two pieces of waiting work, as a comparator does: what comes first is less. */
+  /** Compares two pieces of waiting work, as a comparator; the one that gets room first is less. */
   public static int compare(WaitingWork a, WaitingWork b) {
     int byPriority = Integer.compare(a.priority(), b.priority());
     if (byPriority != 0) {
--- a/core/src/main/java/io/hingehoist/run/load/WaitingWork.java
+++ b/core/src/main/java/io/hingehoist/run/load/WaitingWork.java
@@ -1,13 +1,13 @@
 package io.hingehoist.run.load;
 
-/** Something that waits for room, as far as its place in the order goes. */
+/** Work that waits for room, with the properties that determine its position in the order. */
 public interface WaitingWork {
-  /** Returns the priority of its queue; 0 goes first. */
+  /** Returns the priority of the work's queue; 0 is the most urgent. */
   int priority();
 
-  /** Returns a number that rises with each job that an owner takes. */
+  /** Returns a number that increases with each job that an owner accepts. */
   long arrivalNumber();
 
-  /** Returns a name that no other waiting work has. */
+  /** Returns a name that is unique among waiting work. */
   String name();
 }
--- a/core/src/main/java/io/hingehoist/run/load/package-info.java
+++ b/core/src/main/java/io/hingehoist/run/load/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Decisions under load: in which order work waits, what counts as late, what is turned away and
- * when, whose work gets room.
+ * Policies under load: the order of waiting work, the prediction of late answers, the refusal of
+ * jobs, and the allocation of scarce room.
  *
- * <p>Each class here names the load that it answers, takes plain values and times, and gives back a
- * decision; owners and hosts ask it. Begin with {@link io.hingehoist.run.load.WaitingOrder} and
- * {@link io.hingehoist.run.load.RefusalPolicy}.
+ * <p>Each class documents the situation that it covers. It computes a decision from plain values
+ * and times, and is called by owners and hosts. The entry points are {@link
+ * io.hingehoist.run.load.WaitingOrder} and {@link io.hingehoist.run.load.RefusalPolicy}.
  */
 package io.hingehoist.run.load;
--- a/core/src/main/java/io/hingehoist/run/owner/FollowedHosts.java
+++ b/core/src/main/java/io/hingehoist/run/owner/FollowedHosts.java
@@ -9,70 +9,71 @@
 import java.util.Set;
 
 /**
- * The hosts that an owner follows closely: a subset of bounded size, those of its own availability
- * zone first, else by a hash of both names, so that owners spread over all hosts without asking
- * anyone.
+ * Selects the hosts that an owner follows, that is, that send it every change of their workers at
+ * once: a subset of bounded size that prefers hosts of the owner's availability zone and then
+ * orders them by a hash of both names. The hash spreads owners over all hosts without coordination.
  *
- * <p>Without it each host shows each change to each owner: messages then grow with the product of
- * their numbers. Owned by {@link JobOwner}.
+ * <p>Without the bound each host would send each change to each owner, and the number of messages
+ * would grow with the product of owners and hosts. Not thread-safe: confined to the thread of its
+ * {@link JobOwner}.
  */
 final class FollowedHosts {
-  private record Candidate(String hostId, boolean far, int rank) {}
+  private record Candidate(String hostId, boolean isRemote, int rank) {}
 
-  private static final Comparator<Candidate> NEAREST_FIRST =
-      Comparator.comparing(Candidate::far)
+  private static final Comparator<Candidate> LOCAL_FIRST =
+      Comparator.comparing(Candidate::isRemote)
           .thenComparingInt(Candidate::rank)
           .thenComparing(Candidate::hostId);
 
   private final String ownerId;
   private final String zone;
-  private int most;
+  private int maxHosts;
   private final Map<String, Candidate> candidates = new LinkedHashMap<>();
   private Set<String> followed = Set.of();
 
   /**
-   * Creates an empty subset.
+   * Creates an empty selection.
    *
-   * @param most the largest number of hosts in it, at least 1
+   * @param maxHosts the largest number of hosts to follow, at least 1
    */
-  FollowedHosts(String ownerId, String zone, int most) {
-    if (most < 1) {
-      throw new IllegalArgumentException("most " + most + " must be at least 1");
+  FollowedHosts(String ownerId, String zone, int maxHosts) {
+    if (maxHosts < 1) {
+      throw new IllegalArgumentException("maxHosts " + maxHosts + " must be at least 1");
     }
     this.ownerId = ownerId;
     this.zone = zone;
-    this.most = most;
+    this.maxHosts = maxHosts;
   }
 
   void add(String hostId, String hostZone) {
-    int rank = mixed((ownerId + '/' + hostId).hashCode());
+    int rank = mixBits((ownerId + '/' + hostId).hashCode());
     candidates.put(hostId, new Candidate(hostId, !hostZone.equals(zone), rank));
-    choose();
+    select();
   }
 
   /**
-   * Mixes the bits of a hash, with the finalizer of MurmurHash3: hashes of names that differ in
-   * their last signs only are neighbours, and would give every owner the same order.
+   * Mixes the bits of a hash with the finalizer of MurmurHash3. Names that differ only in their
+   * last characters have adjacent hash codes, which would give every owner the same order of hosts.
    */
-  private static int mixed(int hash) {
-    int mixed = (hash ^ (hash >>> 16)) * 0x85ebca6b;
-    mixed = (mixed ^ (mixed >>> 13)) * 0xc2b2ae35;
-    return mixed ^ (mixed >>> 16);
+  private static int mixBits(int hash) {
+    int mixBits = (hash ^ (hash >>> 16)) * 0x85ebca6b;
+    mixBits = (mixBits ^ (mixBits >>> 13)) * 0xc2b2ae35;
+    return mixBits ^ (mixBits >>> 16);
   }
 
   void remove(String hostId) {
     candidates.remove(hostId);
-    choose();
+    select();
   }
 
-  /** Follows another number of hosts, at least 1; returns those that are followed since then. */
-  Set<String> follow(int newMost) {
-    if (newMost == most) {
+  /** Sets the number of hosts to follow, at least 1; returns the hosts that this adds. */
+  Set<String> setMaxHosts(int newMaxHosts) {
+    if (newMaxHosts == maxHosts) {
       return Set.of();
     }
     Set<String> before = followed;
-    most = newMost;
-    choose();
+    maxHosts = newMaxHosts;
+    select();
     Set<String> added = new HashSet<>(followed);
     added.removeAll(before);
     return added;
@@ -86,14 +87,14 @@
     return followed.size();
   }
 
-  private void choose() {
+  private void select() {
     List<Candidate> ranked = new ArrayList<>(candidates.values());
-    if (ranked.size() > most) {
-      ranked.sort(NEAREST_FIRST);
-      ranked = ranked.subList(0, most);
+    if (ranked.size() > maxHosts) {
+      ranked.sort(LOCAL_FIRST);
+      ranked = ranked.subList(0, maxHosts);
     }
-    Set<String> chosen = new HashSet<>();
-    ranked.forEach(candidate -> chosen.add(candidate.hostId()));
-    followed = chosen;
+    Set<String> selected = new HashSet<>();
+    ranked.forEach(candidate -> selected.add(candidate.hostId()));
+    followed = selected;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/owner/HostView.java
+++ b/core/src/main/java/io/hingehoist/run/owner/HostView.java
@@ -9,29 +9,33 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One host as an owner sees it while a session with it is open. Owned by {@link JobOwner}. */
+/**
+ * An owner's view of one host while a session with it is open.
+ *
+ * <p>Not thread-safe: confined to the thread of its {@link JobOwner}.
+ */
 final class HostView {
   final String hostId;
   private final Map<String, WorkerView> workers = new LinkedHashMap<>();
   private long lastOrder;
-  private long heardAtMs;
+  private long lastHeardAtMs;
 
   HostView(String hostId) {
     this.hostId = hostId;
   }
 
-  long nextOrder() {
+  long nextOrderNumber() {
     return ++lastOrder;
   }
 
-  /** Notes that the host said something. */
-  void noteHeard(long nowMs) {
-    heardAtMs = nowMs;
+  /** Records the arrival of a message from the host. */
+  void recordHeard(long nowMs) {
+    lastHeardAtMs = nowMs;
   }
 
-  /** Returns the time up to which this owner knows what became of its runs there. */
-  long heardAtMs() {
-    return heardAtMs;
+  /** Returns the time of the host's last message, up to which the state of its runs is known. */
+  long lastHeardAtMs() {
+    return lastHeardAtMs;
   }
 
   void update(HostRows rows) {
@@ -48,7 +52,7 @@
     return workers.values();
   }
 
-  /** Returns the processor of its workers. */
+  /** Returns the total CPU capacity of the host's workers. */
   long cpuMilli() {
     long cpuMilli = 0;
     for (WorkerView worker : workers.values()) {
--- a/core/src/main/java/io/hingehoist/run/owner/HostViews.java
+++ b/core/src/main/java/io/hingehoist/run/owner/HostViews.java
@@ -13,14 +13,15 @@
 import java.util.Set;
 
 /**
- * The hosts that an owner has sessions with, and which of them get work: those that are followed
- * closely first, and none while its session has no connection. Owned by {@link JobOwner}.
+ * The hosts that an owner has sessions with, in the order in which they get work: followed hosts
+ * first. A host whose session is without a connection gets none. Not thread-safe: confined to the
+ * thread of its {@link JobOwner}.
  */
 final class HostViews {
   private final FollowedHosts followed;
   private final Map<String, HostView> hosts = new LinkedHashMap<>();
 
-  /** Those without a connection, which may be back in a moment. */
+  /** The hosts whose sessions are currently without a connection. */
   private final Set<String> suspended = new HashSet<>();
 
   private List<HostView> followedViews = List.of();
@@ -30,56 +31,56 @@
     this.followed = followed;
   }
 
-  /** Adds a host with a session; returns whether it is new. */
+  /** Adds a host when its session opens; returns whether it is new. */
   boolean add(String hostId, String zone) {
     if (hosts.containsKey(hostId)) {
       return false;
     }
     hosts.put(hostId, new HostView(hostId));
     followed.add(hostId, zone);
-    sort();
+    rebuildLists();
     return true;
   }
 
-  /** Removes a host whose session is over; returns whether it was there. */
+  /** Removes a host when its session ends; returns whether it was present. */
   boolean remove(String hostId) {
     if (hosts.remove(hostId) == null) {
       return false;
     }
     suspended.remove(hostId);
     followed.remove(hostId);
-    sort();
+    rebuildLists();
     return true;
   }
 
-  /** Gives a host nothing new until its session has a connection again. */
+  /** Excludes a host from new work until its session has a connection again. */
   void suspend(String hostId) {
     if (hosts.containsKey(hostId) && suspended.add(hostId)) {
-      sort();
+      rebuildLists();
     }
   }
 
-  /** Takes it that a session has a connection; returns whether it had none. */
+  /** Ends the suspension of a host; returns whether it was suspended. */
   boolean resume(String hostId) {
     boolean wasSuspended = suspended.remove(hostId);
     if (wasSuspended) {
-      sort();
+      rebuildLists();
     }
     return wasSuspended;
   }
 
-  /** Sorts the hosts by whether they are followed, which changes only as they come and go. */
-  private void sort() {
-    List<HostView> near = new ArrayList<>();
+  /** Recomputes the cached lists; called on each change of the hosts or of the followed subset. */
+  private void rebuildLists() {
+    List<HostView> followedHosts = new ArrayList<>();
     List<HostView> others = new ArrayList<>();
     for (HostView host : hosts.values()) {
       if (!suspended.contains(host.hostId)) {
-        (followed.contains(host.hostId) ? near : others).add(host);
+        (followed.contains(host.hostId) ? followedHosts : others).add(host);
       }
     }
-    followedViews = List.copyOf(near);
-    near.addAll(others);
-    allViews = List.copyOf(near);
+    followedViews = List.copyOf(followedHosts);
+    followedHosts.addAll(others);
+    allViews = List.copyOf(followedHosts);
   }
 
   Optional<HostView> find(String hostId) {
@@ -90,16 +91,16 @@
     return hosts.containsKey(hostId);
   }
 
-  /** Returns the worker on which a task was ordered last, as its host shows it. */
+  /** Returns the view of the worker at which a task was last ordered. */
   Optional<WorkerView> workerOf(OwnedTask task) {
     return find(task.hostId()).flatMap(host -> host.worker(task.workerId()));
   }
 
-  /** Follows another number of hosts closely; returns those that are followed since then. */
-  Set<String> follow(int count) {
-    Set<String> added = followed.follow(count);
+  /** Sets the number of hosts to follow; returns the hosts that this adds. */
+  Set<String> setFollowedCount(int count) {
+    Set<String> added = followed.setMaxHosts(count);
     if (!added.isEmpty()) {
-      sort();
+      rebuildLists();
     }
     return added;
   }
@@ -112,22 +113,22 @@
     return followed.size();
   }
 
-  /** Returns the followed hosts that have a connection. */
+  /** Returns the followed hosts that are not suspended. */
   List<HostView> followed() {
     return followedViews;
   }
 
-  /** Returns the followed hosts that have a connection, then the others that have one. */
+  /** Returns the hosts that are not suspended, followed hosts first. */
   List<HostView> all() {
     return allViews;
   }
 
-  /** Returns whether workers of a job's service are known, and a task of it fits none of them. */
-  boolean isWiderThanAll(JobPlan plan) {
-    return plan.steps().stream().anyMatch(step -> isWiderThanAll(plan.service(), step));
+  /** Returns whether workers of a job's service are known and some task of the job fits none. */
+  boolean fitsNoWorker(JobPlan plan) {
+    return plan.steps().stream().anyMatch(step -> fitsNoWorker(plan.service(), step));
   }
 
-  private boolean isWiderThanAll(String service, StepPlan step) {
+  private boolean fitsNoWorker(String service, StepPlan step) {
     boolean known = false;
     for (HostView host : hosts.values()) {
       for (WorkerView worker : host.workers()) {
@@ -142,7 +143,7 @@
     return known;
   }
 
-  /** Returns the processor of a host's workers, the mean of all; 0 if none is known. */
+  /** Returns the mean CPU capacity of the hosts that have workers; 0 if there are none. */
   double meanCpuMilli() {
     return hosts.values().stream()
         .mapToLong(HostView::cpuMilli)
@@ -151,11 +152,11 @@
         .orElse(0);
   }
 
-  /** Returns whether a worker is known that takes runs. */
+  /** Returns whether any known worker accepts runs. */
   boolean hasReadyWorker(long nowMs) {
     return hosts.values().stream()
         .map(HostView::workers)
         .flatMap(Collection::stream)
-        .anyMatch(worker -> worker.takesRuns(nowMs));
+        .anyMatch(worker -> worker.acceptsRuns(nowMs));
   }
 }
--- a/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
+++ b/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
@@ -23,39 +23,43 @@
 import java.util.OptionalLong;
 
 /**
- * The decisions of an owner: which run of which task is ordered at which worker, when a lost one
- * may be started again, and when a job is answered.
+ * Makes the decisions of a job owner: at which worker each run of a task is ordered, when a lost
+ * run may be started again, and when a job is answered.
  *
- * <p>Call a method for each event, then {@link #place}, then carry out {@link #drainEffects} in
- * order. A task has at most one run that is not provably over. Times are milliseconds of a clock
- * that never goes back. Not thread-safe: one thread owns it.
+ * <p>Call the method for each event, then {@link #place}, then carry out the effects of {@link
+ * #drainEffects} in order. At any time a task has at most one run that is not known to have ended.
+ * Times are in milliseconds of a monotonic clock. Not thread-safe: confined to the thread of the
+ * owner's event loop.
  */
 public final class JobOwner {
-  /** After a refused number, the number goes up by this much: another owner used those below. */
-  private static final long NUMBER_STEP = 16;
+  /** Run numbers to skip after one was refused, as another owner has used the numbers up to it. */
+  private static final long RUN_NUMBER_SKIP = 16;
 
-  /** Failures on workers that fail everything end a job as well, so that it ends at all. */
-  private static final int MAX_UNCLEAR_FAILURES = 3;
+  /**
+   * Failures on workers that fail every run which a task may have beyond its attempts. The limit
+   * ensures that its job ends.
+   */
+  private static final int MAX_UNATTRIBUTED_FAILURES = 3;
 
-  private static final long AVOID_MS = 1_000;
+  private static final long UNHEALTHY_BACKOFF_MS = 1_000;
 
-  /** Some round trips to a host that is busy. */
-  private static final long NOT_READY_MS = 50;
+  /** Several round trips to a busy host. */
+  private static final long NOT_READY_BACKOFF_MS = 50;
 
   private final RunTiming timing;
-  private final SpeedTable speeds = new SpeedTable();
-  private final WorkerChoice choice = new WorkerChoice(speeds);
+  private final WorkerSpeeds speeds = new WorkerSpeeds();
+  private final WorkerSelector selector = new WorkerSelector(speeds);
   private final FollowedHostCount followedCount;
   private final HostViews hosts;
   private final RunPlacement placement;
-  private final RunWatch watch;
+  private final StragglerDetector stragglerDetector;
   private final Map<String, OwnedJob> jobs = new LinkedHashMap<>();
-  private final Map<String, OwnedTask> active = new HashMap<>();
+  private final Map<String, OwnedTask> activeTasks = new HashMap<>();
   private final OwnerOutbox outbox = new OwnerOutbox();
-  private final CrashEvidence crashes = new CrashEvidence();
-  private long jobNumber;
-  private long readyAtMs;
-  private OptionalLong fleetKnownAtMs = OptionalLong.empty();
+  private final CrashHistory crashes = new CrashHistory();
+  private long lastJobNumber;
+  private long lastReadyWorkerAtMs;
+  private OptionalLong firstReadyWorkerAtMs = OptionalLong.empty();
 
   private JobOwner(
       RunTiming timing, FollowedHosts followed, int followedHosts, UrgentReservation reservation) {
@@ -63,29 +67,31 @@
     this.followedCount = FollowedHostCount.of(followedHosts);
     this.hosts = new HostViews(followed);
     this.placement =
-        new RunPlacement(hosts, choice, reservation, outbox, task -> active.put(task.name(), task));
-    this.watch = new RunWatch(hosts, speeds, choice, placement::newPass);
+        new RunPlacement(
+            hosts, selector, reservation, outbox, task -> activeTasks.put(task.name(), task));
+    this.stragglerDetector = new StragglerDetector(hosts, speeds, selector, placement::newPass);
   }
 
-  /** Creates an owner of no jobs that follows every host closely. */
+  /** Creates an owner without jobs that follows every host. */
   public static JobOwner create(RunTiming timing) {
     return create(timing, "", "", Integer.MAX_VALUE);
   }
 
   /**
-   * Creates an owner of no jobs.
+   * Creates an owner without jobs.
    *
-   * @param followedHosts the number of hosts that get work first, those of its zone before others
+   * @param followedHosts the minimum number of hosts to follow; they get work first, and hosts of
+   *     the owner's zone are preferred
    */
   public static JobOwner create(RunTiming timing, String ownerId, String zone, int followedHosts) {
     return create(timing, ownerId, zone, followedHosts, UrgentReservation.ofPercent(0));
   }
 
   /**
-   * Creates an owner of no jobs that keeps room for urgent work.
+   * Creates an owner without jobs that reserves room for urgent work.
    *
-   * @param followedHosts the least number of hosts that get work first
-   * @param reservation the room that long work leaves to urgent work
+   * @param followedHosts the minimum number of hosts to follow; they get work first
+   * @param reservation the share of room that is reserved for urgent work
    */
   public static JobOwner create(
       RunTiming timing,
@@ -97,98 +103,99 @@
         timing, new FollowedHosts(ownerId, zone, followedHosts), followedHosts, reservation);
   }
 
-  /** Returns what is to be done since the last call, in order. */
+  /** Removes and returns, in order, the effects that were requested since the last call. */
   public List<OwnerEffect> drainEffects() {
-    return outbox.take();
+    return outbox.drain();
   }
 
-  // Callers.
+  // Calls from clients.
 
-  /** Takes a job. Returns whether it is new; one that is here already goes on as it is. */
+  /** Accepts a job. Returns whether it is new; a job that is already known continues unchanged. */
   public boolean submit(JobPlan plan, long nowMs) {
     if (jobs.containsKey(plan.jobId())) {
       return false;
     }
-    OwnedJob job = new OwnedJob(plan, nowMs, ++jobNumber);
+    OwnedJob job = new OwnedJob(plan, nowMs, ++lastJobNumber);
     jobs.put(plan.jobId(), job);
-    placement.addArrived(job.takeFreed(), nowMs);
-    outbox.note("jobTaken", plan.jobId(), "", plan.queue(), "priority=" + plan.priority());
-    noteCrashes(job, nowMs);
-    refuseIfTooWide(job, nowMs);
+    placement.addArrived(job.unblockTasks(), nowMs);
+    outbox.logDecision("jobTaken", plan.jobId(), "", plan.queue(), "priority=" + plan.priority());
+    applyCrashHistory(job, nowMs);
+    refuseIfOversized(job, nowMs);
     return true;
   }
 
-  /** Drops a job whose caller is gone, and stops its runs. */
+  /** Drops a job whose caller has disconnected, and stops its runs. */
   public void drop(String jobId, String reason) {
     OwnedJob job = jobs.get(jobId);
     if (job != null) {
-      end(job, new JobEnd.Dropped(reason));
+      endJob(job, new JobEnd.Dropped(reason));
     }
   }
 
-  /** Ends a job on its caller's word. Returns whether there was one. */
+  /** Cancels a job at its caller's request. Returns whether the job was known. */
   public boolean cancel(String jobId) {
     OwnedJob job = jobs.get(jobId);
     if (job == null) {
       return false;
     }
-    end(job, new JobEnd.Cancelled());
+    endJob(job, new JobEnd.Cancelled());
     return true;
   }
 
   /**
-   * Drops every job: this owner stood still for so long that its hosts have stopped its runs, and
-   * its callers may have gone to another owner.
+   * Drops every job. Called after the owner was suspended for so long that its hosts have stopped
+   * its runs and its callers may have turned to another owner.
    */
   public void dropAll(String reason) {
     for (OwnedJob job : List.copyOf(jobs.values())) {
-      end(job, new JobEnd.Dropped(reason));
+      endJob(job, new JobEnd.Dropped(reason));
     }
   }
 
-  /** Returns the number of jobs of a queue none of whose tasks was started. */
+  /** Returns the number of jobs of a queue of which no task has started. */
   public long unstartedJobCount(String queueName) {
     return jobs.values().stream()
         .filter(job -> !job.mayHaveStarted() && job.plan().queue().equals(queueName))
         .count();
   }
 
-  /** Returns the number of jobs that are not answered. */
+  /** Returns the number of unanswered jobs. */
   public int jobCount() {
     return jobs.size();
   }
 
-  /** Returns the number of tasks that wait for room. */
+  /** Returns the number of tasks that are waiting for room. */
   public int waitingTaskCount() {
     return placement.waitingCount();
   }
 
-  /** Returns the number of runs that are ordered and not known to be over. */
+  /** Returns the number of ordered runs that are not known to have ended. */
   public int activeRunCount() {
-    return active.size();
+    return activeTasks.size();
   }
 
-  /** Returns whether a worker is known that takes runs. */
+  /** Returns whether any known worker accepts runs. */
   public boolean hasReadyWorker(long nowMs) {
     return hosts.hasReadyWorker(nowMs);
   }
 
-  // Hosts.
+  // Events from hosts.
 
   /**
-   * Notes an open session.
+   * Handles the opening of a session with a host.
    *
-   * @param formerRunsOver whether no run is going on that was ordered at the host before it
+   * @param formerRunsOver whether all runs have ended that were ordered at the host before this
+   *     session
    */
   public void sessionOpened(String hostId, String zone, long incarnation, boolean formerRunsOver) {
     if (hosts.add(hostId, zone)) {
-      outbox.note("hostFound", "", "", hostId, "incarnation=" + incarnation);
-      placement.tellWaitingTo(hostId);
+      outbox.logDecision("hostFound", "", "", hostId, "incarnation=" + incarnation);
+      placement.sendWaitingReportTo(hostId);
     }
     if (!formerRunsOver) {
       return;
     }
-    for (OwnedTask task : List.copyOf(active.values())) {
+    for (OwnedTask task : List.copyOf(activeTasks.values())) {
       if (task.hostId().equals(hostId) && task.isUncertain()) {
         requeue(task, task.run(), "formerRunsOver");
       }
@@ -196,26 +203,27 @@
   }
 
   /**
-   * Notes that a session has no connection on which its host is heard: the host gets nothing new
-   * until it has one, as an order would wait for it. What was ordered there goes on.
+   * Handles the loss of the connection of a session that remains open. The host gets no new orders
+   * until the session has a connection again, since they could not be delivered; runs that are
+   * already ordered continue.
    */
   public void sessionSuspended(String hostId) {
     hosts.suspend(hostId);
   }
 
-  /** Notes that a session has a connection again on which its host is heard. */
+  /** Handles the reconnection of a session. */
   public void sessionResumed(String hostId) {
     if (hosts.resume(hostId)) {
-      placement.tellWaitingTo(hostId);
+      placement.sendWaitingReportTo(hostId);
     }
   }
 
   /**
-   * Notes that a session is over and won't go on.
+   * Handles the final end of a session.
    *
-   * @param silent whether its host may still hold the lease of this owner
-   * @param leaseSinceMs when that lease may last have been renewed, or when the host is known not
-   *     to have had one any more
+   * @param silent whether the host may still consider this owner's lease valid
+   * @param leaseSinceMs the latest time at which that lease may have been renewed, or at which the
+   *     host is known to have had no lease any more
    */
   public void sessionLost(String hostId, boolean silent, long leaseSinceMs) {
     if (!hosts.remove(hostId)) {
@@ -223,236 +231,256 @@
     }
     long overAfterMs =
         silent ? timing.runsOverAfterSilenceMs() : timing.runsOverAfterDisconnectMs();
-    int uncertain = 0;
-    for (OwnedTask task : active.values()) {
+    int uncertainRuns = 0;
+    for (OwnedTask task : activeTasks.values()) {
       if (task.hostId().equals(hostId) && task.isOrdered()) {
-        task.noteUncertain(leaseSinceMs + overAfterMs);
-        uncertain++;
+        task.markUncertain(leaseSinceMs + overAfterMs);
+        uncertainRuns++;
       }
     }
     String outcome =
-        "silent=%s runsUncertain=%d runsOverAfterMs=%d".formatted(silent, uncertain, overAfterMs);
-    outbox.note("hostLost", "", "", hostId, outcome);
+        "silent=%s runsUncertain=%d runsOverAfterMs=%d"
+            .formatted(silent, uncertainRuns, overAfterMs);
+    outbox.logDecision("hostLost", "", "", hostId, outcome);
   }
 
-  /** Returns whether a host is to show each change at once, and not only with each heartbeat. */
+  /**
+   * Returns whether a host is to send each change at once, rather than with each heartbeat only.
+   */
   public boolean follows(String hostId) {
     return hosts.follows(hostId);
   }
 
-  /** Takes what a host shows of its workers. */
+  /** Handles a host's update of the state of its workers. */
   public void hostRowsReceived(String hostId, HostRows rows, long nowMs) {
     hosts
         .find(hostId)
         .ifPresent(
             host -> {
-              host.noteHeard(nowMs);
+              host.recordHeard(nowMs);
               host.update(rows);
-              rows.workers().forEach(row -> speeds.notePace(row.workerId(), row.pacePercent()));
+              rows.workers()
+                  .forEach(row -> speeds.recordUsualPace(row.workerId(), row.pacePercent()));
             });
   }
 
-  /** Takes a host's word of the tasks that were at a worker when it crashed. */
-  public void workerCrashed(WorkerCrashed news, long nowMs) {
-    crashes.note(news, nowMs);
-    for (String name : news.tasks()) {
+  /** Handles a host's report of the tasks that were on a worker when it crashed. */
+  public void workerCrashed(WorkerCrashed report, long nowMs) {
+    crashes.add(report, nowMs);
+    for (String name : report.tasks()) {
       OwnedJob job = jobs.get(TaskNames.jobIdOf(name));
       if (job != null) {
-        noteCrashes(job, nowMs);
+        applyCrashHistory(job, nowMs);
       }
     }
   }
 
-  /** Gives a job up if one of its tasks crashes workers; what is suspected is tried apart. */
-  private void noteCrashes(OwnedJob job, long nowMs) {
+  /**
+   * Fails a job if one of its tasks keeps crashing workers; marks tasks that may do so as suspect.
+   */
+  private void applyCrashHistory(OwnedJob job, long nowMs) {
     for (OwnedTask task : job.tasks()) {
-      if (crashes.isGivenUp(task.name(), nowMs)) {
-        int workers = crashes.countOf(task.name(), nowMs);
-        outbox.note("taskGivenUp", job.plan().jobId(), task.name(), "", "crashed=" + workers);
-        end(job, new JobEnd.Failed("task %s crashed %d workers".formatted(task.name(), workers)));
+      if (crashes.exceedsCrashLimit(task.name(), nowMs)) {
+        int workers = crashes.crashCount(task.name(), nowMs);
+        outbox.logDecision(
+            "taskGivenUp", job.plan().jobId(), task.name(), "", "crashed=" + workers);
+        endJob(
+            job, new JobEnd.Failed("task %s crashed %d workers".formatted(task.name(), workers)));
         return;
       }
       if (crashes.isSuspect(task.name(), nowMs)) {
-        task.makeSuspect();
+        task.markSuspect();
       }
     }
   }
 
-  /** Takes a host's word that a run did not start. */
+  /** Handles a host's report that a run did not start. */
   public void runNotStarted(String hostId, RunNotStarted report, long nowMs) {
-    OwnedTask task = find(hostId, report.run());
+    OwnedTask task = findActive(hostId, report.run());
     if (task == null) {
       return;
     }
-    task.job().noteNotStarted();
-    view(task).ifPresent(worker -> worker.noteNotStarted(task.name()));
+    task.job().recordNotStarted();
+    workerOf(task).ifPresent(worker -> worker.recordNotStarted(task.name()));
     switch (report.reason()) {
       case ROOM, ZONE_EVACUATED -> {}
-      // Its host may be about to hear of this owner's lease: tried at once, it would refuse again.
-      case NOT_READY -> view(task).ifPresent(worker -> worker.avoidUntil(nowMs + NOT_READY_MS));
-      case OLD_NUMBER -> task.skipRunNumbers(NUMBER_STEP);
+      // The renewal of this owner's lease may still be on its way to the host. An immediate retry
+      // would be refused again.
+      case NOT_READY ->
+          workerOf(task).ifPresent(worker -> worker.avoidUntil(nowMs + NOT_READY_BACKOFF_MS));
+      case OLD_NUMBER -> task.skipRunNumbers(RUN_NUMBER_SKIP);
       case INVALID -> {
-        if (task.noteFailure() >= task.job().plan().attempts()) {
-          active.remove(task.name());
-          end(task.job(), new JobEnd.Failed("refused by workers"));
+        if (task.recordFailure() >= task.job().plan().attempts()) {
+          activeTasks.remove(task.name());
+          endJob(task.job(), new JobEnd.Failed("refused by workers as invalid"));
           return;
         }
       }
-      case UNHEALTHY -> view(task).ifPresent(worker -> worker.avoidUntil(nowMs + AVOID_MS));
+      case UNHEALTHY ->
+          workerOf(task).ifPresent(worker -> worker.avoidUntil(nowMs + UNHEALTHY_BACKOFF_MS));
     }
     String reason = report.reason() == RunRefusal.ROOM ? "" : report.reason().name();
     requeue(task, report.run(), reason);
   }
 
-  private Optional<WorkerView> view(OwnedTask task) {
+  private Optional<WorkerView> workerOf(OwnedTask task) {
     return hosts.workerOf(task);
   }
 
-  /** Takes a host's word that a run is over. */
+  /** Handles a host's report that a run has ended. */
   public void runEnded(String hostId, RunEnded report, long nowMs) {
-    OwnedTask task = find(hostId, report.run());
+    OwnedTask task = findActive(hostId, report.run());
     if (task == null) {
       return;
     }
-    view(task).ifPresent(worker -> worker.noteEnd(task.name(), task.plan().need()));
+    workerOf(task).ifPresent(worker -> worker.recordEnd(task.name(), task.plan().need()));
     switch (report.end()) {
-      case DONE -> done(task, report.ranMs(), nowMs);
-      case FAILED -> failed(task, report.run());
+      case DONE -> completeTask(task, report.ranMs(), nowMs);
+      case FAILED -> handleFailure(task, report.run());
       case STOPPED, LAPSED, BROKEN, ALONE, LOST -> requeue(task, report.run(), report.end().name());
     }
   }
 
-  private OwnedTask find(String hostId, RunRef run) {
-    OwnedTask task = active.get(run.task());
-    return task != null && task.isRun(hostId, run) ? task : null;
+  private OwnedTask findActive(String hostId, RunRef run) {
+    OwnedTask task = activeTasks.get(run.task());
+    return task != null && task.isCurrentRun(hostId, run) ? task : null;
   }
 
-  private void done(OwnedTask task, long ranMs, long nowMs) {
-    active.remove(task.name());
-    task.noteDone();
-    speeds.noteRun(task.workerId(), ranMs, task.plan().estimateMs(), nowMs);
+  private void completeTask(OwnedTask task, long ranMs, long nowMs) {
+    activeTasks.remove(task.name());
+    task.markDone();
+    speeds.recordRun(task.workerId(), ranMs, task.plan().estimateMs(), nowMs);
     OwnedJob job = task.job();
-    job.noteDone(task);
+    job.recordDone(task);
     if (job.isComplete()) {
-      end(job, new JobEnd.Completed());
+      endJob(job, new JobEnd.Completed());
     } else {
-      placement.addAll(job.takeFreed());
+      placement.addAll(job.unblockTasks());
     }
   }
 
-  private void failed(OwnedTask task, RunRef run) {
-    task.avoidItsWorker();
-    if (hasFailedForGood(task)) {
-      active.remove(task.name());
-      end(task.job(), new JobEnd.Failed("task " + task.name() + " failed"));
+  private void handleFailure(OwnedTask task, RunRef run) {
+    task.avoidCurrentWorker();
+    if (countFailure(task)) {
+      activeTasks.remove(task.name());
+      endJob(task.job(), new JobEnd.Failed("task " + task.name() + " failed"));
     } else {
       requeue(task, run, RunEnd.FAILED.name());
     }
   }
 
-  /** Counts a failure; one on a worker that fails everything says little of the task. */
-  private boolean hasFailedForGood(OwnedTask task) {
+  /**
+   * Counts a failure; returns whether the task has used up its attempts. Failures on a worker that
+   * fails every run are counted separately, as they say little about the task.
+   */
+  private boolean countFailure(OwnedTask task) {
     int attempts = task.job().plan().attempts();
-    boolean unclear = view(task).map(WorkerView::isFailing).orElse(false);
-    return unclear
-        ? task.noteUnclearFailure() >= attempts + MAX_UNCLEAR_FAILURES
-        : task.noteFailure() >= attempts;
+    boolean isUnattributed = workerOf(task).map(WorkerView::isFailing).orElse(false);
+    return isUnattributed
+        ? task.recordUnattributedFailure() >= attempts + MAX_UNATTRIBUTED_FAILURES
+        : task.recordFailure() >= attempts;
   }
 
-  private void requeue(OwnedTask task, RunRef over, String reason) {
-    active.remove(task.name());
-    task.noteQueued();
+  private void requeue(OwnedTask task, RunRef endedRun, String reason) {
+    activeTasks.remove(task.name());
+    task.markQueued();
     placement.add(task);
     if (!reason.isEmpty()) {
-      String outcome = "reason=%s run=%d host=%s".formatted(reason, over.number(), task.hostId());
-      outbox.note("runAgain", task.job().plan().jobId(), task.name(), task.workerId(), outcome);
+      String outcome =
+          "reason=%s run=%d host=%s".formatted(reason, endedRun.number(), task.hostId());
+      outbox.logDecision(
+          "runAgain", task.job().plan().jobId(), task.name(), task.workerId(), outcome);
     }
   }
 
-  private void end(OwnedJob job, JobEnd end) {
+  private void endJob(OwnedJob job, JobEnd end) {
     jobs.remove(job.plan().jobId());
     for (OwnedTask task : job.tasks()) {
       placement.remove(task);
-      if (active.remove(task.name()) != null && task.isOrdered()) {
-        stop(task);
+      if (activeTasks.remove(task.name()) != null && task.isOrdered()) {
+        stopRun(task);
       }
     }
     outbox.add(new OwnerEffect.AnswerJob(job.plan().jobId(), end));
   }
 
-  private void stop(OwnedTask task) {
+  private void stopRun(OwnedTask task) {
     if (!task.isStopSent() && hosts.contains(task.hostId())) {
-      task.noteStopSent();
+      task.markStopSent();
       outbox.send(task.hostId(), new StopRun(task.run()));
     }
   }
 
-  // Time.
+  // Timer.
 
-  /** Does what the time has made due. */
+  /** Performs the actions that have become due; called at short intervals. */
   public void onTick(long nowMs) {
     boolean hasReadyWorker = hasReadyWorker(nowMs);
-    if (readyAtMs == 0 || hasReadyWorker) {
-      readyAtMs = nowMs;
+    if (lastReadyWorkerAtMs == 0 || hasReadyWorker) {
+      lastReadyWorkerAtMs = nowMs;
     }
-    if (hasReadyWorker && fleetKnownAtMs.isEmpty()) {
-      fleetKnownAtMs = OptionalLong.of(nowMs);
+    if (hasReadyWorker && firstReadyWorkerAtMs.isEmpty()) {
+      firstReadyWorkerAtMs = OptionalLong.of(nowMs);
     }
-    for (OwnedTask task : List.copyOf(active.values())) {
-      if (task.isProvablyOver(nowMs)) {
+    for (OwnedTask task : List.copyOf(activeTasks.values())) {
+      if (task.mustHaveEnded(nowMs)) {
         requeue(task, task.run(), "provablyOver");
-      } else if (task.isOrdered() && watch.isToBeMoved(task, nowMs)) {
-        move(task);
+      } else if (task.isOrdered() && stragglerDetector.shouldMove(task, nowMs)) {
+        moveRun(task);
       }
     }
     for (OwnedJob job : List.copyOf(jobs.values())) {
-      refuseIfHopeless(job, nowMs);
+      refuseIfUnstartable(job, nowMs);
     }
-    followedCount.sample(takenHosts());
-    hosts.follow(followedCount.count()).forEach(placement::tellWaitingTo);
-    placement.putLateBehind(task -> speeds.expectedMs(task.plan().estimateMs()), nowMs);
+    followedCount.sample(usedHosts());
+    hosts.setFollowedCount(followedCount.count()).forEach(placement::sendWaitingReportTo);
+    placement.demoteLate(task -> speeds.expectedMs(task.plan().estimateMs()), nowMs);
   }
 
-  /** Returns the room that runs of this owner take, in hosts of mean size. */
-  private double takenHosts() {
+  /** Returns the CPU that runs of this owner use, as a number of hosts of mean capacity. */
+  private double usedHosts() {
     long cpuMilli = 0;
-    for (OwnedTask task : active.values()) {
+    for (OwnedTask task : activeTasks.values()) {
       cpuMilli += task.plan().need().cpuMilli();
     }
     double meanMilli = hosts.meanCpuMilli();
     return meanMilli == 0 ? 0 : cpuMilli / meanMilli;
   }
 
-  /** A job that was not started and can't be worth anything is refused at once, not at its end. */
-  private void refuseIfHopeless(OwnedJob job, long nowMs) {
+  /**
+   * Refuses an unstarted job as soon as it cannot be answered in time, rather than at its expiry.
+   */
+  private void refuseIfUnstartable(OwnedJob job, long nowMs) {
     if (job.mayHaveStarted()) {
       return;
     }
     long expiresAfterMs = job.plan().expiresAfterMs();
-    RefusalPolicy.refusalOfUnstarted(job.waitedMs(nowMs), expiresAfterMs, nowMs - readyAtMs)
-        .ifPresentOrElse(no -> refuse(job, no), () -> refuseIfTooWide(job, nowMs));
+    RefusalPolicy.refusalOfUnstarted(
+            job.waitedMs(nowMs), expiresAfterMs, nowMs - lastReadyWorkerAtMs)
+        .ifPresentOrElse(refusal -> refuse(job, refusal), () -> refuseIfOversized(job, nowMs));
   }
 
-  /** Room that no worker has, even an empty one, will not become free. */
-  private void refuseIfTooWide(OwnedJob job, long nowMs) {
-    if (fleetKnownAtMs.isPresent() && hosts.isWiderThanAll(job.plan())) {
-      RefusalPolicy.refusalOfOversized(nowMs - fleetKnownAtMs.getAsLong())
-          .ifPresent(no -> refuse(job, no));
+  /** Refuses a job with a task that needs more room than any worker has, even when empty. */
+  private void refuseIfOversized(OwnedJob job, long nowMs) {
+    if (firstReadyWorkerAtMs.isPresent() && hosts.fitsNoWorker(job.plan())) {
+      RefusalPolicy.refusalOfOversized(nowMs - firstReadyWorkerAtMs.getAsLong())
+          .ifPresent(refusal -> refuse(job, refusal));
     }
   }
 
   private void refuse(OwnedJob job, RefusalPolicy.Refusal refusal) {
-    end(job, new JobEnd.Refused(refusal.reason(), refusal.retryAfterMs()));
+    endJob(job, new JobEnd.Refused(refusal.reason(), refusal.retryAfterMs()));
   }
 
-  private void move(OwnedTask task) {
-    String outcome = "ranMs=" + watch.knownRunMs(task);
-    outbox.note("runMoved", task.job().plan().jobId(), task.name(), task.workerId(), outcome);
-    task.avoidItsWorker();
-    stop(task);
+  private void moveRun(OwnedTask task) {
+    String outcome = "ranMs=" + stragglerDetector.observedRunMs(task);
+    outbox.logDecision(
+        "runMoved", task.job().plan().jobId(), task.name(), task.workerId(), outcome);
+    task.avoidCurrentWorker();
+    stopRun(task);
   }
 
-  /** Orders runs for the tasks that wait, best priority first, as far as there is room. */
+  /** Orders runs for the waiting tasks in order of priority, as far as there is room. */
   public void place(long nowMs) {
     placement.place(nowMs);
   }
--- a/core/src/main/java/io/hingehoist/run/owner/OrderBatch.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OrderBatch.java
@@ -10,12 +10,15 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** Gathers the runs of one pass, so that those of one step on one worker go out as one order. */
+/**
+ * Collects the runs that one placement pass orders, and combines the runs of one step on one worker
+ * into one order. Not thread-safe: confined to the thread of its {@link JobOwner}.
+ */
 final class OrderBatch {
   private record Key(String workerId, OwnedJob job, int step) {
 
-    // The methods that the compiler would make are linked at their first call, which takes a
-    // starting owner 15 ms while its first jobs wait.
+    // The generated methods of a record are linked at their first call. That takes 15 ms in an
+    // owner that has just started, while its first jobs wait.
 
     @Override
     public boolean equals(Object other) {
@@ -27,7 +30,7 @@
 
     @Override
     public int hashCode() {
-      return 31 * (31 * workerId.hashCode() + Long.hashCode(job.number())) + step;
+      return 31 * (31 * workerId.hashCode() + Long.hashCode(job.arrivalNumber())) + step;
     }
   }
 
@@ -44,16 +47,15 @@
 
   private final Map<Key, Group> groups = new LinkedHashMap<>();
 
-  /**
-   * Adds a task that was given to a worker, and returns the number of the order that carries it.
-   */
+  /** Adds the current run of a task and returns the number of the order that carries it. */
   long add(OwnedTask task, HostView host) {
     Key key = new Key(task.workerId(), task.job(), task.step());
-    Group group = groups.computeIfAbsent(key, k -> new Group(host, host.nextOrder()));
+    Group group = groups.computeIfAbsent(key, k -> new Group(host, host.nextOrderNumber()));
     group.runs.add(task.run());
     return group.order;
   }
 
+  /** Passes each order to a consumer, with the id of its host. */
   void emit(BiConsumer<String, StartRuns> out) {
     groups.forEach((key, group) -> out.accept(group.host.hostId, toOrder(key, group)));
   }
--- a/core/src/main/java/io/hingehoist/run/owner/OwnedJob.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OwnedJob.java
@@ -4,28 +4,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One job, as its owner sees it. Owned by {@link JobOwner}. */
+/**
+ * The state of one job at its owner.
+ *
+ * <p>Not thread-safe: confined to the thread of its {@link JobOwner}.
+ */
 final class OwnedJob {
   private final JobPlan plan;
-  private final long takenAtMs;
-  private final long number;
+  private final long acceptedAtMs;
+  private final long arrivalNumber;
   private final List<List<OwnedTask>> steps = new ArrayList<>();
-  private final int[] openTasks;
+  private final int[] unfinishedTasks;
 
-  /** Orders that were not refused: each may have started a task. */
+  /** The number of orders that were not refused; each of them may have started a task. */
   private int possibleStarts;
 
-  OwnedJob(JobPlan plan, long takenAtMs, long number) {
+  OwnedJob(JobPlan plan, long acceptedAtMs, long arrivalNumber) {
     this.plan = plan;
-    this.takenAtMs = takenAtMs;
-    this.number = number;
-    this.openTasks = new int[plan.steps().size()];
+    this.acceptedAtMs = acceptedAtMs;
+    this.arrivalNumber = arrivalNumber;
+    this.unfinishedTasks = new int[plan.steps().size()];
     for (int step = 0; step < plan.steps().size(); step++) {
       List<OwnedTask> tasks = new ArrayList<>();
       for (int index = 0; index < plan.steps().get(step).count(); index++) {
         tasks.add(new OwnedTask(this, step, index));
       }
-      openTasks[step] = tasks.size();
+      unfinishedTasks[step] = tasks.size();
       steps.add(tasks);
     }
   }
@@ -34,9 +38,9 @@
     return plan;
   }
 
-  /** Returns a number that rises with each job that an owner takes. */
-  long number() {
-    return number;
+  /** Returns a number that increases with each job that the owner accepts. */
+  long arrivalNumber() {
+    return arrivalNumber;
   }
 
   List<OwnedTask> tasksOf(int step) {
@@ -47,68 +51,68 @@
     return steps.stream().flatMap(List::stream).toList();
   }
 
-  /** Returns the time since its owner took it. */
+  /** Returns the time since the owner accepted the job. */
   long waitedMs(long nowMs) {
-    return nowMs - takenAtMs;
+    return nowMs - acceptedAtMs;
   }
 
-  /** Returns the end of the time in which the caller hopes for the answer. */
+  /** Returns the time by which the caller wants the answer. */
   long objectiveAtMs() {
-    return takenAtMs + plan.objectiveMs();
+    return acceptedAtMs + plan.objectiveMs();
   }
 
   boolean mayHaveStarted() {
     return possibleStarts > 0;
   }
 
-  void noteOrdered() {
+  void recordOrder() {
     possibleStarts++;
   }
 
-  /** Notes that the host said of an order that nothing was started. */
-  void noteNotStarted() {
+  /** Records a host's report that an order started nothing. */
+  void recordNotStarted() {
     possibleStarts--;
   }
 
-  void noteDone(OwnedTask task) {
-    openTasks[task.step()]--;
+  void recordDone(OwnedTask task) {
+    unfinishedTasks[task.step()]--;
   }
 
   boolean isComplete() {
-    for (int open : openTasks) {
-      if (open > 0) {
+    for (int count : unfinishedTasks) {
+      if (count > 0) {
         return false;
       }
     }
     return true;
   }
 
-  /** Returns the tasks that nothing holds back any more and that were not free before. */
-  List<OwnedTask> takeFreed() {
-    List<OwnedTask> freed = new ArrayList<>();
+  /** Queues the tasks whose preceding steps are now complete, and returns them. */
+  List<OwnedTask> unblockTasks() {
+    List<OwnedTask> unblocked = new ArrayList<>();
     for (int step = 0; step < steps.size(); step++) {
-      if (isFree(step)) {
+      if (isUnblocked(step)) {
         for (OwnedTask task : steps.get(step)) {
           if (task.isBlocked()) {
-            task.noteQueued();
-            freed.add(task);
+            task.markQueued();
+            unblocked.add(task);
           }
         }
       }
     }
-    return freed;
+    return unblocked;
   }
 
-  private boolean isFree(int step) {
+  private boolean isUnblocked(int step) {
     for (int before : plan.steps().get(step).dependsOn()) {
-      if (openTasks[before] > 0) {
+      if (unfinishedTasks[before] > 0) {
         return false;
       }
     }
     return true;
   }
 
-  long countOn(String workerId, int step) {
+  long countOnWorker(String workerId, int step) {
     return steps.get(step).stream()
         .filter(task -> task.mayBeRunning() && task.workerId().equals(workerId))
         .count();
--- a/core/src/main/java/io/hingehoist/run/owner/OwnedTask.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OwnedTask.java
@@ -5,18 +5,22 @@
 import io.hingehoist.run.TaskNames;
 import io.hingehoist.run.load.WaitingWork;
 
-/** One task of a job, as its owner sees it. Owned by {@link JobOwner}. */
+/**
+ * The state of one task at the owner of its job.
+ *
+ * <p>Not thread-safe: confined to the thread of its {@link JobOwner}.
+ */
 final class OwnedTask implements WaitingWork {
   private enum State {
-    /** Waits for other steps. */
+    /** Waiting for other steps. */
     BLOCKED,
-    /** Waits for room. */
+    /** Waiting for room on a worker. */
     QUEUED,
-    /** Was ordered at a host. */
+    /** A run was ordered at a host. */
     ORDERED,
-    /** Its last run may still be going on at a host that was lost. */
+    /** The last run may still be active at a host whose session is lost. */
     UNCERTAIN,
-    /** Has ended well. */
+    /** Ended successfully. */
     DONE
   }
 
@@ -26,7 +30,7 @@
   private State state = State.BLOCKED;
   private long runNumber;
   private int failures;
-  private int unclearFailures;
+  private int unattributedFailures;
   private String hostId = "";
   private String workerId = "";
   private String avoidedWorkerId = "";
@@ -65,26 +69,26 @@
 
   @Override
   public long arrivalNumber() {
-    return job.number();
+    return job.arrivalNumber();
   }
 
-  boolean isOfStepOf(OwnedTask other) {
+  boolean isInSameStepAs(OwnedTask other) {
     return job == other.job && step == other.step;
   }
 
-  // The run that was ordered last.
+  // The last ordered run.
 
-  /** Returns the run that was ordered last. */
+  /** Returns the last ordered run. */
   RunRef run() {
     return new RunRef(name, runNumber);
   }
 
-  /** Returns the host where it was ordered last; empty before the first order. */
+  /** Returns the host of the last ordered run; empty before the first order. */
   String hostId() {
     return hostId;
   }
 
-  /** Returns the worker where it was ordered last; empty before the first order. */
+  /** Returns the worker of the last ordered run; empty before the first order. */
   String workerId() {
     return workerId;
   }
@@ -93,12 +97,12 @@
     return orderedAtMs;
   }
 
-  boolean isRun(String ofHostId, RunRef run) {
+  boolean isCurrentRun(String ofHostId, RunRef run) {
     return hostId.equals(ofHostId) && runNumber == run.number();
   }
 
-  /** Notes that a run is ordered at a worker. */
-  void noteOrdered(WorkerView worker, long nowMs) {
+  /** Records that a run is ordered at a worker. */
+  void recordOrder(WorkerView worker, long nowMs) {
     state = State.ORDERED;
     runNumber++;
     hostId = worker.hostId;
@@ -107,7 +111,7 @@
     stopSent = false;
   }
 
-  /** Passes over run numbers that another owner used. */
+  /** Skips run numbers that another owner used. */
   void skipRunNumbers(long count) {
     runNumber += count;
   }
@@ -116,17 +120,17 @@
     return stopSent;
   }
 
-  void noteStopSent() {
+  void markStopSent() {
     stopSent = true;
   }
 
-  /** Returns the worker that it is better not ordered at again; empty if there is none. */
+  /** Returns the worker at which a further run is ordered only as a last resort; empty for none. */
   String avoidedWorkerId() {
     return avoidedWorkerId;
   }
 
-  /** Notes that it is better not ordered again at the worker where it was. */
-  void avoidItsWorker() {
+  /** Makes the worker of the last ordered run the last choice for further runs. */
+  void avoidCurrentWorker() {
     avoidedWorkerId = workerId;
   }
 
@@ -148,45 +152,45 @@
     return isOrdered() || isUncertain();
   }
 
-  /** Notes that it waits for room; its last run, if any, is over. */
-  void noteQueued() {
+  /** Marks the task as waiting for room; its last run, if any, has ended. */
+  void markQueued() {
     state = State.QUEUED;
     stopSent = false;
   }
 
-  /** Notes that its host was lost: the run may go on until a time. */
-  void noteUncertain(long untilMs) {
+  /** Marks the host as lost: the run may remain active until a given time. */
+  void markUncertain(long untilMs) {
     state = State.UNCERTAIN;
     uncertainUntilMs = untilMs;
   }
 
-  /** Returns whether its run at a lost host is over by now. */
-  boolean isProvablyOver(long nowMs) {
+  /** Returns whether its run at a lost host must have ended by now. */
+  boolean mustHaveEnded(long nowMs) {
     return isUncertain() && nowMs >= uncertainUntilMs;
   }
 
-  void noteDone() {
+  void markDone() {
     state = State.DONE;
   }
 
   // Failures.
 
-  /** Returns whether a worker crashed under it, so that it runs apart from others like it. */
+  /** Returns whether a worker crashed while it ran this task, so that suspects run apart. */
   boolean isSuspect() {
     return suspect;
   }
 
-  void makeSuspect() {
+  void markSuspect() {
     suspect = true;
   }
 
-  /** Notes a failure that says something of the task; returns how many there were. */
-  int noteFailure() {
+  /** Records a failure that is attributed to the task; returns the number of these. */
+  int recordFailure() {
     return ++failures;
   }
 
-  /** Notes a failure on a worker that fails everything; returns how many there were. */
-  int noteUnclearFailure() {
-    return ++unclearFailures;
+  /** Records a failure on a worker that fails every run; returns the number of these. */
+  int recordUnattributedFailure() {
+    return ++unattributedFailures;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/owner/OwnerOutbox.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OwnerOutbox.java
@@ -5,7 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Gathers, in order, what an owner asks its surroundings to do. Owned by {@link JobOwner}. */
+/**
+ * Collects, in order, the effects that an owner requests.
+ *
+ * <p>Not thread-safe: confined to the thread of its {@link JobOwner}.
+ */
 final class OwnerOutbox {
   private final List<OwnerEffect> effects = new ArrayList<>();
 
@@ -17,15 +21,15 @@
     effects.add(new OwnerEffect.SendToHost(hostId, message));
   }
 
-  /** Writes a decision to the log; names that it is not about are empty. */
-  void note(String event, String job, String task, String where, String outcome) {
+  /** Logs a decision; arguments that do not apply are empty. */
+  void logDecision(String event, String job, String task, String where, String outcome) {
     effects.add(new OwnerEffect.LogDecision(new Decision(event, job, task, where, outcome)));
   }
 
-  /** Returns the effects since the last call. */
-  List<OwnerEffect> take() {
-    List<OwnerEffect> taken = List.copyOf(effects);
+  /** Removes and returns the effects that were added since the last call. */
+  List<OwnerEffect> drain() {
+    List<OwnerEffect> drained = List.copyOf(effects);
     effects.clear();
-    return taken;
+    return drained;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
+++ b/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
@@ -11,127 +11,136 @@
 import java.util.Optional;
 
 /**
- * One pass over the tasks that wait, at one moment.
+ * One pass over the waiting tasks, at one point in time.
  *
- * <p>Room only shrinks while a pass gives it out. So what was found to fit nowhere fits nowhere for
- * the rest of the pass, nor does anything that needs as much or more: such tasks are passed over
- * without a look at the workers. Not thread-safe: {@link JobOwner} owns it.
+ * <p>Free room can only shrink during a pass. A task that fitted nowhere therefore fits nowhere for
+ * the rest of the pass, and neither does any task that needs at least as much, so such tasks are
+ * skipped without a search of the workers. Not thread-safe: confined to the thread of its {@link
+ * JobOwner}.
  */
 final class PlacementPass {
-  private record Miss(String service, String requires, Room need) {
+  /** The requirements of a task for which a search found no worker. */
+  private record Unplaceable(String service, String requiredLabel, Room need) {
     private boolean covers(OwnedTask task) {
       StepPlan step = task.plan();
       return service.equals(task.job().plan().service())
-          && (requires.isEmpty() || requires.equals(step.requires()))
+          && (requiredLabel.isEmpty() || requiredLabel.equals(step.requiredLabel()))
           && Rooms.fits(need, step.need());
     }
   }
 
   /**
-   * The share of a worker that must stay free beside a further task of the same step. With that
-   * much a job's tasks stay together, so that fewer jobs meet a worker that does not get on, and
-   * fewer orders carry the text of a job.
+   * The share of a worker that must remain free if a further task of the same step joins the last
+   * one there. Keeping the tasks of a job together exposes fewer jobs to a worker that is slow or
+   * stalled, and lets fewer orders carry the specification of a job.
    */
-  private static final double TOGETHER_SPARE_SHARE = 0.15;
+  private static final double MIN_FREE_SHARE_TO_JOIN = 0.15;
 
-  private final WorkerChoice choice;
+  private final WorkerSelector selector;
   private final Collection<HostView> followed;
   private final Collection<HostView> all;
   private final long nowMs;
-  private final Map<String, Boolean> leavesOutByService = new HashMap<>();
-  private final List<Miss> misses = new ArrayList<>();
+  private final Map<String, Boolean> excludesUnhealthyByService = new HashMap<>();
+  private final List<Unplaceable> unplaceable = new ArrayList<>();
   private Optional<OwnedTask> lastPlaced = Optional.empty();
-  private Optional<WorkerView> lastChosen = Optional.empty();
+  private Optional<WorkerView> lastWorker = Optional.empty();
 
   /**
    * Begins a pass.
    *
-   * @param followed the hosts that get work first: what is known of them is newer
-   * @param all these and the others, which get what fits nowhere else
+   * @param followed the hosts that get work first, as their state is more recent
+   * @param all all hosts; those that are not followed get the tasks that fit on no followed host
    */
   PlacementPass(
-      WorkerChoice choice, Collection<HostView> followed, Collection<HostView> all, long nowMs) {
-    this.choice = choice;
+      WorkerSelector selector,
+      Collection<HostView> followed,
+      Collection<HostView> all,
+      long nowMs) {
+    this.selector = selector;
     this.followed = followed;
     this.all = all;
     this.nowMs = nowMs;
   }
 
-  /** Returns the share of the processors of a service's workers that is free by now. */
+  /** Returns the free share of the CPU of a service's workers that accept runs. */
   double freeShare(String service) {
-    return choice.freeShare(service, all, nowMs);
+    return selector.freeShare(service, all, nowMs);
   }
 
-  /** Returns the best worker for a task now; empty if none has room. */
+  /** Returns the best worker for a task; empty if no suitable worker has room. */
   Optional<WorkerView> choose(OwnedTask task) {
-    Optional<WorkerView> beside = lastChosen.filter(worker -> isGoodBeside(worker, task));
-    if (beside.isPresent()) {
-      return beside;
+    Optional<WorkerView> joined = lastWorker.filter(worker -> canJoinLastWorker(worker, task));
+    if (joined.isPresent()) {
+      return joined;
     }
-    if (isMissed(task)) {
+    if (isKnownUnplaceable(task)) {
       return Optional.empty();
     }
     Optional<WorkerView> best = search(task);
     if (best.isEmpty()) {
-      noteMiss(task);
+      recordUnplaceable(task);
     } else {
       lastPlaced = Optional.of(task);
-      lastChosen = best;
+      lastWorker = best;
     }
     return best;
   }
 
-  private boolean isMissed(OwnedTask task) {
-    for (Miss miss : misses) {
-      if (miss.covers(task)) {
+  private boolean isKnownUnplaceable(OwnedTask task) {
+    for (Unplaceable known : unplaceable) {
+      if (known.covers(task)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Returns whether a task may go where the last one of its step went, without a search. */
-  private boolean isGoodBeside(WorkerView worker, OwnedTask task) {
-    return lastPlaced.filter(task::isOfStepOf).isPresent()
+  /** Returns whether a task may join the last placed task of its step without a search. */
+  private boolean canJoinLastWorker(WorkerView worker, OwnedTask task) {
+    return lastPlaced.filter(task::isInSameStepAs).isPresent()
         && !task.isSuspect()
-        && task.plan().near().isEmpty()
+        && task.plan().preferredLabel().isEmpty()
         && !worker.row().workerId().equals(task.avoidedWorkerId())
-        && worker.shareLeft(task.plan().need()) >= TOGETHER_SPARE_SHARE
-        && choice.isFit(worker, task, leavesOut(task), nowMs);
+        && worker.shareLeft(task.plan().need()) >= MIN_FREE_SHARE_TO_JOIN
+        && selector.canTake(worker, task, excludesUnhealthy(task), nowMs);
   }
 
   private Optional<WorkerView> search(OwnedTask task) {
     Optional<WorkerView> best = Optional.empty();
-    if (task.plan().near().isEmpty()) {
-      best = choice.choose(task, followed, leavesOut(task), nowMs);
+    if (task.plan().preferredLabel().isEmpty()) {
+      best = selector.choose(task, followed, excludesUnhealthy(task), nowMs);
     }
-    if (best.isEmpty() && isWiderThanFollowed(task)) {
-      best = choice.choose(task, all, leavesOut(task), nowMs);
+    if (best.isEmpty() && mustSearchAll(task)) {
+      best = selector.choose(task, all, excludesUnhealthy(task), nowMs);
     }
     return best;
   }
 
-  /** The workers that hold a task's data may be anywhere, so all are looked at for it. */
-  private boolean isWiderThanFollowed(OwnedTask task) {
-    return all.size() > followed.size() || !task.plan().near().isEmpty();
+  /**
+   * Returns whether to search all hosts, since the workers that hold a task's data may be anywhere.
+   */
+  private boolean mustSearchAll(OwnedTask task) {
+    return all.size() > followed.size() || !task.plan().preferredLabel().isEmpty();
   }
 
-  /** Returns whether unwell workers get none of a task's kind, as most others are well. */
-  boolean leavesOut(OwnedTask task) {
-    return leavesOutByService.computeIfAbsent(
-        task.job().plan().service(), service -> choice.mayLeaveOut(service, all, nowMs));
+  /** Returns whether slow and failing workers are excluded for a task's service. */
+  boolean excludesUnhealthy(OwnedTask task) {
+    return excludesUnhealthyByService.computeIfAbsent(
+        task.job().plan().service(), service -> selector.canExcludeUnhealthy(service, all, nowMs));
   }
 
   /**
-   * A task that may not share its worker with others of its step says nothing of other steps, nor
-   * does one under which a worker crashed, nor one that leaves a slow worker's room to those that
-   * have more time.
+   * Records a failed search, unless its cause applies to the task alone: a limit on the tasks of
+   * its step per worker, its isolation as a suspect of crashes, or a deadline that a slow worker
+   * with room would miss.
    */
-  private void noteMiss(OwnedTask task) {
+  private void recordUnplaceable(OwnedTask task) {
     StepPlan step = task.plan();
-    boolean isLikeOthers = step.maxTasksPerWorker() == 0 && !task.isSuspect();
-    if (isLikeOthers && !choice.waitsForFaster(task, all, leavesOut(task), nowMs)) {
-      misses.add(new Miss(task.job().plan().service(), step.requires(), step.need()));
+    boolean isUnrestricted = step.maxTasksPerWorker() == 0 && !task.isSuspect();
+    if (isUnrestricted
+        && !selector.waitsForFasterWorker(task, all, excludesUnhealthy(task), nowMs)) {
+      unplaceable.add(
+          new Unplaceable(task.job().plan().service(), step.requiredLabel(), step.need()));
     }
   }
 }
--- a/core/src/main/java/io/hingehoist/run/owner/RunPlacement.java
+++ b/core/src/main/java/io/hingehoist/run/owner/RunPlacement.java
@@ -9,33 +9,34 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Orders runs for the tasks that wait, and tells hosts what waits in vain. Owned by {@link
- * JobOwner}.
+ * Orders runs for waiting tasks, and reports to hosts the tasks that remain waiting.
+ *
+ * <p>Not thread-safe: confined to the thread of its {@link JobOwner}.
  */
 final class RunPlacement {
   private final HostViews hosts;
-  private final WorkerChoice choice;
+  private final WorkerSelector selector;
   private final UrgentReservation reservation;
   private final OwnerOutbox outbox;
   private final Consumer<OwnedTask> onOrdered;
   private final WaitingTasks waiting = new WaitingTasks();
-  private final WaitingReport report = new WaitingReport();
+  private final WaitingReport waitingReport = new WaitingReport();
 
   /**
-   * Creates a placement of no tasks.
+   * Creates a placement without waiting tasks.
    *
-   * @param reservation the room that long work leaves to urgent work
-   * @param onOrdered gets each task of which a run was ordered
+   * @param reservation the share of room that is reserved for urgent work
+   * @param onOrdered receives each task for which a run is ordered
    */
   RunPlacement(
       HostViews hosts,
-      WorkerChoice choice,
+      WorkerSelector selector,
       UrgentReservation reservation,
       OwnerOutbox outbox,
       Consumer<OwnedTask> onOrdered) {
     this.reservation = reservation;
     this.hosts = hosts;
-    this.choice = choice;
+    this.selector = selector;
     this.outbox = outbox;
     this.onOrdered = onOrdered;
   }
@@ -48,10 +49,10 @@
     waiting.addAll(tasks);
   }
 
-  /** Adds the tasks of a job that came now. */
+  /** Adds tasks of a job that has just arrived. */
   void addArrived(List<OwnedTask> tasks, long nowMs) {
     for (OwnedTask task : tasks) {
-      reservation.noteArrival(task.priority(), task.plan().estimateMs(), nowMs);
+      reservation.recordArrival(task.priority(), task.plan().estimateMs(), nowMs);
     }
     waiting.addAll(tasks);
   }
@@ -60,91 +61,94 @@
     waiting.remove(task);
   }
 
-  /** Returns the number of tasks that wait. */
+  /** Returns the number of waiting tasks. */
   int waitingCount() {
     return waiting.size();
   }
 
-  /** Puts tasks behind that can't be in time any more. */
-  void putLateBehind(ToDoubleFunction<OwnedTask> expectedMs, long nowMs) {
-    waiting.putLateBehind(expectedMs, nowMs);
+  /** Moves tasks that can no longer be in time behind all others. */
+  void demoteLate(ToDoubleFunction<OwnedTask> expectedMs, long nowMs) {
+    waiting.demoteLate(expectedMs, nowMs);
   }
 
-  /** Orders runs, best priority first, as far as there is room. */
+  /** Orders runs in order of priority, as far as there is room. */
   void place(long nowMs) {
     if (waiting.size() > 0) {
       placeWaiting(nowMs);
     }
-    tellWaiting(nowMs);
+    sendWaitingReport(nowMs);
   }
 
   private void placeWaiting(long nowMs) {
     OrderBatch batch = new OrderBatch();
     PlacementPass pass = newPass(nowMs);
     waiting.offer(
-        task -> order(task, 0, pass, batch, nowMs),
-        task -> order(task, Lateness.SPARE_SHARE, pass, batch, nowMs));
+        task -> tryOrder(task, 0, pass, batch, nowMs),
+        task -> tryOrder(task, Lateness.MIN_FREE_SHARE_FOR_LATE, pass, batch, nowMs));
     batch.emit(outbox::send);
   }
 
-  /** Hosts give freed room to the owner whose work comes first, so they hear what waits. */
-  private void tellWaiting(long nowMs) {
-    if (report.isRested(hosts.followedCount(), nowMs)
-        && report.isNews(waiting.rows(nowMs), nowMs)) {
-      OwnerWaiting news = report.last();
-      hosts.followed().forEach(host -> outbox.send(host.hostId, news));
+  /**
+   * Sends hosts the waiting tasks, as they offer freed room to the owner with the most urgent one.
+   */
+  private void sendWaitingReport(long nowMs) {
+    if (waitingReport.isDue(hosts.followedCount(), nowMs)
+        && waitingReport.updateIfChanged(waiting.rows(nowMs), nowMs)) {
+      OwnerWaiting update = waitingReport.last();
+      hosts.followed().forEach(host -> outbox.send(host.hostId, update));
     }
   }
 
-  /** Tells a host that may not have heard it what waits here. */
-  void tellWaitingTo(String hostId) {
-    outbox.send(hostId, report.last());
+  /** Sends the last report to a host that may not have received it. */
+  void sendWaitingReportTo(String hostId) {
+    outbox.send(hostId, waitingReport.last());
   }
 
-  /** Begins a pass over the tasks that wait. */
+  /** Begins a pass over the waiting tasks. */
   PlacementPass newPass(long nowMs) {
-    return new PlacementPass(choice, hosts.followed(), hosts.all(), nowMs);
+    return new PlacementPass(selector, hosts.followed(), hosts.all(), nowMs);
   }
 
   /**
    * Orders a run of a task if a worker has room for it.
    *
-   * @param spareShare the share of the worker that must stay free beside the run
+   * @param minFreeShare the share of the worker that must remain free once the run is placed
    */
-  private boolean order(
-      OwnedTask task, double spareShare, PlacementPass pass, OrderBatch batch, long nowMs) {
-    if (isHeldBack(task, pass, nowMs)) {
+  private boolean tryOrder(
+      OwnedTask task, double minFreeShare, PlacementPass pass, OrderBatch batch, long nowMs) {
+    if (mustLeaveRoomToUrgent(task, pass, nowMs)) {
       return false;
     }
     Optional<WorkerView> chosen = pass.choose(task);
-    if (chosen.isEmpty() || !spares(chosen.get(), task, spareShare)) {
+    if (chosen.isEmpty() || !leavesEnoughFree(chosen.get(), task, minFreeShare)) {
       return false;
     }
     WorkerView worker = chosen.get();
-    task.noteOrdered(worker, nowMs);
-    task.job().noteOrdered();
+    task.recordOrder(worker, nowMs);
+    task.job().recordOrder();
     onOrdered.accept(task);
-    long order = batch.add(task, hosts.find(worker.hostId).orElseThrow());
-    worker.noteOrder(order, task);
+    long orderNumber = batch.add(task, hosts.find(worker.hostId).orElseThrow());
+    worker.recordOrder(orderNumber, task);
     return true;
   }
 
-  private boolean isHeldBack(OwnedTask task, PlacementPass pass, long nowMs) {
-    if (reservation.isNone()) {
+  private boolean mustLeaveRoomToUrgent(OwnedTask task, PlacementPass pass, long nowMs) {
+    if (reservation.isDisabled()) {
       return false;
     }
     OwnedJob job = task.job();
-    return reservation.holdsBack(
+    return reservation.mustWait(
         task.priority(), job.mayHaveStarted(), pass.freeShare(job.plan().service()), nowMs);
   }
 
   /**
-   * What is begun goes on in any case. A worker that this owner uses for nothing else may be
-   * filled, as some tasks need all of one.
+   * Returns whether a run may be placed on a worker with regard to the share that must remain free.
+   * The limit does not apply to jobs that have started, nor to a worker that runs nothing else of
+   * this owner, as some tasks need a whole worker.
    */
-  private static boolean spares(WorkerView worker, OwnedTask task, double spareShare) {
+  private static boolean leavesEnoughFree(WorkerView worker, OwnedTask task, double minFreeShare) {
     return task.job().mayHaveStarted()
         || worker.activeRuns() == 0
-        || worker.shareLeft(task.plan().need()) >= spareShare;
+        || worker.shareLeft(task.plan().need()) >= minFreeShare;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/owner/SleepCheck.java
+++ b/core/src/main/java/io/hingehoist/run/owner/SleepCheck.java
@@ -1,60 +1,62 @@
 package io.hingehoist.run.owner;
 
 /**
- * Whether an owner whose box may have slept may go on. If it slept as long as its lease, its hosts
- * have stopped its runs and its callers are elsewhere, so that it must start and answer nothing. A
- * host that still has its session proves that it did not. Not thread-safe.
+ * Determines whether an owner may continue after its box may have been asleep.
+ *
+ * <p>If the box slept for as long as the owner's lease, hosts have stopped the owner's runs and
+ * callers have turned to other owners, so the owner must neither start runs nor answer jobs. A host
+ * that confirms its session with the owner proves that the lease did not expire. Not thread-safe.
  */
 public final class SleepCheck {
-  /** Some round trips to a host that is well, and short beside the time of a job. */
-  private static final long PATIENCE_MS = 300;
+  /** Several round trips to a healthy host, yet short compared with the time of a job. */
+  private static final long PROOF_TIMEOUT_MS = 300;
 
-  private boolean open;
-  private long number;
-  private int asked;
-  private long sinceMs;
+  private boolean pending;
+  private long lastProbeNumber;
+  private int sentProbeCount;
+  private long startedAtMs;
 
   private SleepCheck() {}
 
-  /** Returns a doubt that is not open. */
+  /** Creates a check that is not pending. */
   public static SleepCheck create() {
     return new SleepCheck();
   }
 
   /** Returns the number of the next probe. */
   public long nextProbeNumber() {
-    return number + 1;
+    return lastProbeNumber + 1;
   }
 
   /**
-   * Opens the doubt; returns the number that a proof must bear.
+   * Starts a check; returns the number that a proof must carry.
    *
-   * @param hostsAsked the number of hosts that were sent a probe with {@link #nextProbeNumber}
+   * @param probeCount the number of hosts that were sent a probe with {@link #nextProbeNumber}
    */
-  public long begin(int hostsAsked, long nowMs) {
-    open = true;
-    asked = hostsAsked;
-    sinceMs = nowMs;
-    return ++number;
+  public long begin(int probeCount, long nowMs) {
+    pending = true;
+    sentProbeCount = probeCount;
+    startedAtMs = nowMs;
+    return ++lastProbeNumber;
   }
 
-  /** Takes a host's proof that its session with this owner goes on. */
+  /** Handles a host's proof that its session with this owner is still open. */
   public void proofReceived(long proofNumber) {
-    if (proofNumber == number) {
-      open = false;
+    if (proofNumber == lastProbeNumber) {
+      pending = false;
     }
   }
 
-  /** Returns whether nothing may go out. */
+  /** Returns whether the check is pending, during which the owner must send nothing. */
   public boolean isPending() {
-    return open;
+    return pending;
   }
 
-  /** Returns whether no proof came in time, and takes it that the doubt is settled by that. */
+  /** Returns whether a pending check received no proof in time; if so, the check ends. */
   public boolean hasSlept(long nowMs) {
-    boolean slept = open && (asked == 0 || nowMs - sinceMs >= PATIENCE_MS);
+    boolean slept = pending && (sentProbeCount == 0 || nowMs - startedAtMs >= PROOF_TIMEOUT_MS);
     if (slept) {
-      open = false;
+      pending = false;
     }
     return slept;
   }
--- a/core/src/main/java/io/hingehoist/run/owner/WaitingReport.java
+++ b/core/src/main/java/io/hingehoist/run/owner/WaitingReport.java
@@ -5,43 +5,45 @@
 import java.util.List;
 
 /**
- * What an owner has told its hosts of the tasks that wait. Hosts are told again when that has
- * changed, with a pause that grows with their number. Owned by {@link JobOwner}.
+ * The last report of waiting tasks that an owner sent to its hosts. A new report is sent when the
+ * waiting tasks have changed, at a minimum interval that grows with the number of hosts. Not
+ * thread-safe: confined to the thread of its {@link JobOwner}.
  */
 final class WaitingReport {
-  private static final long MIN_PAUSE_MS = 10;
+  private static final long MIN_INTERVAL_MS = 10;
 
   /**
-   * The pause grows with the square of the number of hosts, as each owner tells each of them: 10 ms
-   * for 11 hosts, 48 for 24.
+   * The divisor that turns the square of the number of hosts into the interval in milliseconds: 10
+   * ms for 11 hosts, 48 ms for 24. The interval grows with the square as each owner sends its
+   * reports to each host.
    */
   private static final long HOSTS_SQUARED_PER_MS = 12;
 
-  private List<WaitingRow> told = List.of();
-  private long toldAtMs = -MIN_PAUSE_MS;
+  private List<WaitingRow> reported = List.of();
+  private long reportedAtMs = -MIN_INTERVAL_MS;
 
-  /** Returns whether the pause since hosts were told last is over. */
-  boolean isRested(int hostCount, long nowMs) {
-    return nowMs - toldAtMs
-        >= Math.max(MIN_PAUSE_MS, (long) hostCount * hostCount / HOSTS_SQUARED_PER_MS);
+  /** Returns whether the minimum interval since the last report has passed. */
+  boolean isDue(int hostCount, long nowMs) {
+    return nowMs - reportedAtMs
+        >= Math.max(MIN_INTERVAL_MS, (long) hostCount * hostCount / HOSTS_SQUARED_PER_MS);
   }
 
-  /** Returns whether hosts are to be told, and takes it that they are. */
-  boolean isNews(List<WaitingRow> rows, long nowMs) {
-    if (isSame(rows, told)) {
+  /** Replaces the last report if the waiting tasks have changed; returns whether they have. */
+  boolean updateIfChanged(List<WaitingRow> rows, long nowMs) {
+    if (isSame(rows, reported)) {
       return false;
     }
-    told = List.copyOf(rows);
-    toldAtMs = nowMs;
+    reported = List.copyOf(rows);
+    reportedAtMs = nowMs;
     return true;
   }
 
-  /** Returns what hosts were told last. */
+  /** Returns the last report. */
   OwnerWaiting last() {
-    return new OwnerWaiting(told);
+    return new OwnerWaiting(reported);
   }
 
-  /** The time that the oldest has waited changes always, and alone is no news. */
+  /** Compares without the waiting times, which change constantly. */
   private static boolean isSame(List<WaitingRow> a, List<WaitingRow> b) {
     if (a.size() != b.size()) {
       return false;
--- a/core/src/main/java/io/hingehoist/run/owner/WaitingTasks.java
+++ b/core/src/main/java/io/hingehoist/run/owner/WaitingTasks.java
@@ -12,16 +12,16 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The tasks that wait for room: by priority, and first come first served within one. Those of jobs
- * whose answer will be late in any case go behind all that can be in time. Owned by {@link
- * JobOwner}.
+ * The queue of tasks that wait for room, ordered by priority and within a priority by arrival.
+ * Tasks that can no longer be in time come after all others. Not thread-safe: confined to the
+ * thread of its {@link JobOwner}.
  */
 final class WaitingTasks {
-  private static final int MAX_MISSES_IN_A_PASS = 64;
-  private static final int MAX_COUNTED = 64;
+  private static final int MAX_REJECTIONS_PER_PASS = 64;
+  private static final int MAX_COUNTED_TASKS = 64;
 
-  /** Added to the priority of what can't be in time: any that can goes before it. */
-  private static final int LATE_RANK = 1_000;
+  /** Added to the priority of late tasks, so that every other task precedes them. */
+  private static final int LATE_RANK_OFFSET = 1_000;
 
   private final TreeSet<OwnedTask> inTime = new TreeSet<>(WaitingOrder::compare);
   private final TreeSet<OwnedTask> late = new TreeSet<>(WaitingOrder::compare);
@@ -44,57 +44,58 @@
   }
 
   /**
-   * Returns what waits, a row for each service that some of the first tasks wait for: how urgent
-   * the first of them is, and how many like it follow.
+   * Returns a summary of the first waiting tasks, with a row for each of their services: the rank
+   * of the service's most urgent task, how long its job has waited, and the number of tasks of that
+   * rank.
    */
   List<WaitingRow> rows(long nowMs) {
-    Map<String, First> byService = new LinkedHashMap<>();
+    Map<String, ServiceHead> byService = new LinkedHashMap<>();
     count(inTime, 0, byService, nowMs);
-    count(late, LATE_RANK, byService, nowMs);
+    count(late, LATE_RANK_OFFSET, byService, nowMs);
     List<WaitingRow> rows = new ArrayList<>();
     byService.forEach(
-        (service, first) ->
-            rows.add(new WaitingRow(service, first.rank, first.waitedMs, first.taskCount)));
+        (service, head) ->
+            rows.add(new WaitingRow(service, head.rank, head.waitedMs, head.taskCount)));
     return rows;
   }
 
-  /** The first task that waits for a service, and how many as urgent as it have been seen. */
-  private static final class First {
+  /** The most urgent task of a service, and the number of counted tasks of the same rank. */
+  private static final class ServiceHead {
     private final int rank;
     private final long waitedMs;
     private int taskCount;
 
-    private First(int rank, long waitedMs) {
+    private ServiceHead(int rank, long waitedMs) {
       this.rank = rank;
       this.waitedMs = waitedMs;
     }
   }
 
   private static void count(
-      TreeSet<OwnedTask> tasks, int rankAdded, Map<String, First> byService, long nowMs) {
-    int seen = 0;
+      TreeSet<OwnedTask> tasks, int rankOffset, Map<String, ServiceHead> byService, long nowMs) {
+    int counted = 0;
     for (OwnedTask task : tasks) {
-      if (++seen > MAX_COUNTED) {
+      if (++counted > MAX_COUNTED_TASKS) {
         return;
       }
-      int rank = task.job().plan().priority() + rankAdded;
-      First first = byService.get(task.job().plan().service());
-      if (first == null) {
-        first = new First(rank, task.job().waitedMs(nowMs));
-        byService.put(task.job().plan().service(), first);
+      int rank = task.job().plan().priority() + rankOffset;
+      ServiceHead head = byService.get(task.job().plan().service());
+      if (head == null) {
+        head = new ServiceHead(rank, task.job().waitedMs(nowMs));
+        byService.put(task.job().plan().service(), head);
       }
-      if (first.rank == rank) {
-        first.taskCount++;
+      if (head.rank == rank) {
+        head.taskCount++;
       }
     }
   }
 
   /**
-   * Puts tasks behind that can't be in time any more.
+   * Moves tasks that can no longer be in time behind all others.
    *
-   * @param expectedMs the time that a task is expected to run
+   * @param expectedMs returns the expected run time of a task
    */
-  void putLateBehind(ToDoubleFunction<OwnedTask> expectedMs, long nowMs) {
+  void demoteLate(ToDoubleFunction<OwnedTask> expectedMs, long nowMs) {
     for (OwnedTask task : List.copyOf(inTime)) {
       OwnedJob job = task.job();
       double runMs = expectedMs.applyAsDouble(task);
@@ -106,26 +107,26 @@
   }
 
   /**
-   * Offers tasks in their order, and removes those that are taken.
+   * Offers the tasks for placement in their order, and removes those that were placed.
    *
-   * @param taker gets the tasks that can be in time
-   * @param lateTaker gets those that can't, after the others
+   * @param placer receives the tasks that can be in time, and returns whether it placed them
+   * @param latePlacer receives the late tasks after these, likewise
    */
-  void offer(Predicate<OwnedTask> taker, Predicate<OwnedTask> lateTaker) {
-    offer(inTime, taker);
-    offer(late, lateTaker);
+  void offer(Predicate<OwnedTask> placer, Predicate<OwnedTask> latePlacer) {
+    offer(inTime, placer);
+    offer(late, latePlacer);
   }
 
-  private static void offer(TreeSet<OwnedTask> waiting, Predicate<OwnedTask> taker) {
-    List<OwnedTask> taken = new ArrayList<>();
-    int misses = 0;
+  private static void offer(TreeSet<OwnedTask> waiting, Predicate<OwnedTask> placer) {
+    List<OwnedTask> placed = new ArrayList<>();
+    int rejections = 0;
     for (OwnedTask task : waiting) {
-      if (taker.test(task)) {
-        taken.add(task);
-      } else if (++misses >= MAX_MISSES_IN_A_PASS) {
+      if (placer.test(task)) {
+        placed.add(task);
+      } else if (++rejections >= MAX_REJECTIONS_PER_PASS) {
         break;
       }
     }
-    taken.forEach(waiting::remove);
+    placed.forEach(waiting::remove);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/owner/WorkerView.java
+++ b/core/src/main/java/io/hingehoist/run/owner/WorkerView.java
@@ -10,26 +10,27 @@
 import java.util.Set;
 
 /**
- * One worker as an owner sees it: its host's last row, less the orders that the row does not know
- * of. Owned by {@link HostView}.
+ * An owner's view of one worker: the last row that its host sent, less the room of the orders that
+ * the host had not yet received by then. Not thread-safe: confined to the thread of its {@link
+ * JobOwner}.
  */
 final class WorkerView {
-  private record Unseen(long order, Room need) {}
+  private record UnseenOrder(long orderNumber, Room need) {}
 
   final String hostId;
-  private final List<Unseen> unseen = new ArrayList<>();
+  private final List<UnseenOrder> unseenOrders = new ArrayList<>();
   private WorkerRow row;
   private Room unseenNeed = Rooms.none();
 
   /**
-   * The row's free room less the unseen orders, with what ended since. Each task that is placed
-   * asks every worker for it.
+   * The free room of the row less the room of unseen orders, plus the room of runs that have ended
+   * since. Kept as a field because each placement of a task reads it for every worker.
    */
   private Room free;
 
   private long avoidedUntilMs;
   private int activeRuns;
-  private final Set<String> suspects = new HashSet<>();
+  private final Set<String> suspectTasks = new HashSet<>();
 
   WorkerView(String hostId, WorkerRow row) {
     this.hostId = hostId;
@@ -43,47 +44,49 @@
 
   void update(WorkerRow newRow, long lastOrder) {
     row = newRow;
-    unseen.removeIf(
-        order -> {
-          boolean seen = order.order() <= lastOrder;
+    unseenOrders.removeIf(
+        unseen -> {
+          boolean seen = unseen.orderNumber() <= lastOrder;
           if (seen) {
-            unseenNeed = Rooms.minus(unseenNeed, order.need());
+            unseenNeed = Rooms.minus(unseenNeed, unseen.need());
           }
           return seen;
         });
     free = Rooms.minus(row.free(), unseenNeed);
   }
 
-  /** Returns whether a task of this owner is there under which a worker crashed before. */
+  /**
+   * Returns whether a task of this owner is on the worker that is suspected of crashing workers.
+   */
   boolean hasSuspect() {
-    return !suspects.isEmpty();
+    return !suspectTasks.isEmpty();
   }
 
   int activeRuns() {
     return activeRuns;
   }
 
-  /** Notes that an order of a task came to nothing. */
-  void noteNotStarted(String task) {
+  /** Records that an order of a task started no run. */
+  void recordNotStarted(String task) {
     activeRuns--;
-    suspects.remove(task);
+    suspectTasks.remove(task);
   }
 
-  void noteOrder(long order, OwnedTask task) {
+  void recordOrder(long orderNumber, OwnedTask task) {
     Room need = task.plan().need();
     activeRuns++;
     if (task.isSuspect()) {
-      suspects.add(task.name());
+      suspectTasks.add(task.name());
     }
-    unseen.add(new Unseen(order, need));
+    unseenOrders.add(new UnseenOrder(orderNumber, need));
     unseenNeed = Rooms.plus(unseenNeed, need);
     free = Rooms.minus(free, need);
   }
 
-  void noteEnd(String task, Room need) {
+  void recordEnd(String task, Room need) {
     activeRuns--;
-    suspects.remove(task);
-    // A worker that is nearly full is shared out by its host, which may offer the room to another.
+    suspectTasks.remove(task);
+    // The host allocates the room of a nearly full worker and may offer it to another owner.
     if (!Rooms.isNearlyFull(row.free(), row.capacity())) {
       free = Rooms.plus(free, need);
     }
@@ -93,22 +96,22 @@
     avoidedUntilMs = Math.max(avoidedUntilMs, untilMs);
   }
 
-  /** Returns the room that the row shows and this owner has not given out or got back since. */
+  /** Returns the free room, as far as this owner knows. */
   Room free() {
     return free;
   }
 
-  /** Returns the share of the worker that stays free beside a further run, by its scarcest part. */
+  /** Returns the share of the worker's scarcest resource that a further run would leave free. */
   double shareLeft(Room need) {
     return Rooms.shareLeft(need, free(), row.capacity());
   }
 
-  boolean takesRuns(long nowMs) {
+  boolean acceptsRuns(long nowMs) {
     return row.state() == WorkerState.READY && nowMs >= avoidedUntilMs;
   }
 
-  /** Returns whether its host found that the worker fails what it runs, or does not get on. */
-  boolean isUnwell() {
+  /** Returns whether the host reports the worker as failing its runs, as slow or as stalled. */
+  boolean isUnhealthy() {
     return switch (row.state()) {
       case FAILING, SLOW, STALLED -> true;
       case READY, DRAINING, SILENT -> false;
--- a/core/src/main/java/io/hingehoist/run/package-info.java
+++ b/core/src/main/java/io/hingehoist/run/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Best-effort jobs: jobs of steps and tasks that no log keeps.
+ * Best-effort jobs, which consist of steps and tasks and are not written to a durable log.
  *
- * <p>An owner ({@link io.hingehoist.run.owner}) takes a job and sees to its runs; a host ({@link
- * io.hingehoist.run.host}), beside the workers, orders them. This package holds what both share:
- * plans of jobs, room, timing of leases, and the streams of a session between them. Decisions under
- * load stand in {@link io.hingehoist.run.load}. An owner's runs stop when its lease at the host
- * ends, and all runs of a worker when the host's lease there ends, so a task is started elsewhere
- * only once its last run is provably over.
+ * <p>An owner ({@link io.hingehoist.run.owner}) accepts a job and orders the runs of its tasks; a
+ * host ({@link io.hingehoist.run.host}), on the box of the workers, has the workers carry them out.
+ * This package contains what both share: job plans, amounts of room, the timing of leases, and the
+ * message streams of the sessions between them. Policies under load are in {@link
+ * io.hingehoist.run.load}. The runs of an owner stop when its lease at the host expires, and all
+ * runs of a worker stop when the host's lease at the worker expires. A task is therefore started
+ * elsewhere only once its last run is known to have ended.
  */
 package io.hingehoist.run;
--- a/core/src/test/java/io/hingehoist/run/EvacuatedZonesViewTest.java
+++ b/core/src/test/java/io/hingehoist/run/EvacuatedZonesViewTest.java
@@ -15,30 +15,30 @@
   }
 
   @Test
-  public void nothingMayStartBeforeAnythingWasHeard() {
-    EvacuatedZonesView knowledge = EvacuatedZonesView.create();
-    assertFalse(knowledge.allowsStartsIn("z1"));
-    assertTrue(knowledge.update(zones(0), 1_000));
-    assertTrue(knowledge.allowsStartsIn("z1"));
+  public void nothingMayStartBeforeTheFirstUpdate() {
+    EvacuatedZonesView view = EvacuatedZonesView.create();
+    assertFalse(view.allowsStartsIn("z1"));
+    assertTrue(view.update(zones(0), 1_000));
+    assertTrue(view.allowsStartsIn("z1"));
   }
 
   @Test
-  public void anOlderWordChangesNothing() {
-    EvacuatedZonesView knowledge = EvacuatedZonesView.create();
-    knowledge.update(zones(2, "z1"), 1_000);
-    assertFalse(knowledge.update(zones(1), 2_000));
-    assertFalse(knowledge.update(zones(2, "z1"), 2_000));
-    assertFalse(knowledge.allowsStartsIn("z1"));
-    assertTrue(knowledge.allowsStartsIn("z2"));
-    assertEquals(knowledge.ageMs(3_000), 2_000);
+  public void anOlderVersionIsIgnored() {
+    EvacuatedZonesView view = EvacuatedZonesView.create();
+    view.update(zones(2, "z1"), 1_000);
+    assertFalse(view.update(zones(1), 2_000));
+    assertFalse(view.update(zones(2, "z1"), 2_000));
+    assertFalse(view.allowsStartsIn("z1"));
+    assertTrue(view.allowsStartsIn("z2"));
+    assertEquals(view.ageMs(3_000), 2_000);
   }
 
   /**
-   * Processes pass on what is news to them. However the words overtake each other, all end with the
-   * highest version, and nobody says the same twice.
+   * Processes relay only updates that are newer to them. In whatever order updates arrive, all
+   * processes converge on the highest version, and none relays a version twice.
    */
   @Test
-  public void wordsThatArePassedOnInAnyOrderEndWithTheHighestVersion() {
+  public void updatesRelayedInAnyOrderConvergeOnTheHighestVersion() {
     for (long seed = 0; seed < 200; seed++) {
       Random random = new Random(seed);
       List<EvacuatedZonesView> processes =
@@ -47,11 +47,13 @@
               EvacuatedZonesView.create(),
               EvacuatedZonesView.create());
       List<EvacuatedZones> versions = List.of(zones(1, "z1"), zones(2), zones(3, "z1", "z2"));
-      // The first process is told by replicas, in any order; the second reaches only the first.
-      for (int told = 0; told < 30; told++) {
-        EvacuatedZones heard = versions.get(told < 29 ? random.nextInt(versions.size()) : 2);
-        if (processes.get(0).update(heard, told) && processes.get(1).update(heard, told)) {
-          processes.get(2).update(heard, told);
+      // The first process receives updates from replicas in any order, the second only from the
+      // first,
+      // and the third only from the second.
+      for (int round = 0; round < 30; round++) {
+        EvacuatedZones update = versions.get(round < 29 ? random.nextInt(versions.size()) : 2);
+        if (processes.get(0).update(update, round) && processes.get(1).update(update, round)) {
+          processes.get(2).update(update, round);
         }
       }
       for (EvacuatedZonesView process : processes) {
--- a/core/src/test/java/io/hingehoist/run/FakeWorker.java
+++ b/core/src/test/java/io/hingehoist/run/FakeWorker.java
@@ -14,8 +14,9 @@
 import java.util.Map;
 
 /**
- * A worker as the platform describes it, played in memory: it keeps leases by its own slow clock,
- * tokens, barred numbers and numbered ends, and starts whatever it is told, with or without room.
+ * An in-memory worker that implements the platform's protocol: leases by its own, slow clock,
+ * fencing tokens, invalidated run numbers and numbered ends. It starts every run that it is told to
+ * start, whether or not it has room.
  */
 final class FakeWorker {
   static final Room CAPACITY = new Room(8_000, 8_000, 0);
@@ -28,8 +29,8 @@
     final long endsAtMs;
     final boolean fails;
 
-    /** Returns how much is done; runs begin at a moment that nobody asks for, and take 100 ms. */
-    private int percent(long nowMs) {
+    /** Returns the progress, as if each run took 100 ms; start times are not recorded. */
+    private int percentDone(long nowMs) {
       return Math.clamp(100 - (endsAtMs - nowMs), 0, 100);
     }
 
@@ -44,11 +45,11 @@
   final String id;
   final String address;
   final Map<RunRef, Run> runs = new LinkedHashMap<>();
-  private final Map<String, Long> barred = new HashMap<>();
+  private final Map<String, Long> highestInvalidNumbers = new HashMap<>();
   private final List<HoldAnswer.Ended> ended = new ArrayList<>();
   private long token;
-  private long deadlineMs;
-  private long endNumber;
+  private long leaseDeadlineMs;
+  private long lastEndNumber;
   boolean up = true;
   boolean failsAll;
 
@@ -66,7 +67,8 @@
         id, "s", address, "z", draining, CAPACITY, List.of("a"), version, clockMs(nowMs));
   }
 
-  StartAnswer start(RunRef ref, Room need, long runMs, long deadline, long callToken, long nowMs) {
+  StartAnswer start(
+      RunRef ref, Room need, long runMs, long callDeadlineMs, long callToken, long nowMs) {
     tick(nowMs);
     if (callToken < token) {
       return new StartAnswer.Fenced(clockMs(nowMs));
@@ -75,11 +77,11 @@
     if (runs.containsKey(ref)) {
       return new StartAnswer.Started(clockMs(nowMs));
     }
-    extend(deadline, nowMs);
-    if (ref.number() <= barred.getOrDefault(ref.task(), 0L)) {
+    extendLease(callDeadlineMs, nowMs);
+    if (ref.number() <= highestInvalidNumbers.getOrDefault(ref.task(), 0L)) {
       return new StartAnswer.Refused(RunRefusal.OLD_NUMBER);
     }
-    if (deadline <= clockMs(nowMs)) {
+    if (callDeadlineMs <= clockMs(nowMs)) {
       return new StartAnswer.Late(clockMs(nowMs));
     }
     runs.put(ref, new Run(ref, need, nowMs + runMs, failsAll));
@@ -92,40 +94,41 @@
       return;
     }
     token = callToken;
-    barred.merge(ref.task(), ref.number(), Math::max);
+    highestInvalidNumbers.merge(ref.task(), ref.number(), Math::max);
     if (runs.containsKey(ref)) {
       end(ref, RunEnd.STOPPED);
     }
   }
 
-  HoldAnswer hold(long deadline, long callToken, long lastSeen, long nowMs) {
+  HoldAnswer poll(long callDeadlineMs, long callToken, long lastSeen, long nowMs) {
     tick(nowMs);
     if (callToken < token) {
       return new HoldAnswer.Fenced(clockMs(nowMs));
     }
     token = callToken;
-    extend(deadline, nowMs);
+    extendLease(callDeadlineMs, nowMs);
     ended.removeIf(end -> end.number() <= lastSeen);
     List<HoldAnswer.Running> running =
         runs.values().stream()
-            .map(run -> new HoldAnswer.Running(run.ref, run.percent(nowMs)))
+            .map(run -> new HoldAnswer.Running(run.ref, run.percentDone(nowMs)))
             .toList();
     return new HoldAnswer.Listed(clockMs(nowMs), running, List.copyOf(ended));
   }
 
-  private void extend(long deadline, long nowMs) {
-    deadlineMs = Math.max(deadlineMs, Math.min(deadline, clockMs(nowMs) + MAX_LEASE_MS));
+  private void extendLease(long callDeadlineMs, long nowMs) {
+    leaseDeadlineMs =
+        Math.max(leaseDeadlineMs, Math.min(callDeadlineMs, clockMs(nowMs) + MAX_LEASE_MS));
   }
 
-  private void end(RunRef ref, RunEnd how) {
+  private void end(RunRef ref, RunEnd reason) {
     runs.remove(ref);
-    barred.merge(ref.task(), ref.number(), Math::max);
-    ended.add(new HoldAnswer.Ended(++endNumber, ref, how));
+    highestInvalidNumbers.merge(ref.task(), ref.number(), Math::max);
+    ended.add(new HoldAnswer.Ended(++lastEndNumber, ref, reason));
   }
 
   void tick(long nowMs) {
     for (Run run : List.copyOf(runs.values())) {
-      if (clockMs(nowMs) >= deadlineMs) {
+      if (clockMs(nowMs) >= leaseDeadlineMs) {
         end(run.ref, RunEnd.LAPSED);
       } else if (nowMs >= run.endsAtMs) {
         end(run.ref, run.fails ? RunEnd.FAILED : RunEnd.DONE);
--- a/core/src/test/java/io/hingehoist/run/GeneratedRecordsTest.java
+++ b/core/src/test/java/io/hingehoist/run/GeneratedRecordsTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Generated records are values: equal where every field is, and keys of maps. */
+/** Checks that generated records are values: equal if all fields are, and usable as map keys. */
 public class GeneratedRecordsTest {
 
   private static WorkerRow row(long cpuMilli, WorkerState state) {
@@ -31,7 +31,7 @@
   }
 
   @Test
-  public void eachFieldTellsRecordsApart() {
+  public void recordsThatDifferInOneFieldAreNotEqual() {
     assertNotEquals(new Room(1, 2, 3), new Room(9, 2, 3));
     assertNotEquals(new Room(1, 2, 3), new Room(1, 9, 3));
     assertNotEquals(new Room(1, 2, 3), new Room(1, 2, 9));
@@ -40,7 +40,7 @@
   }
 
   @Test
-  public void recordsAreKeysOfMaps() {
+  public void recordsAreUsableAsMapKeys() {
     Map<RunRef, String> names = new HashMap<>();
     names.put(new RunRef("t", 1), "first");
     names.put(new RunRef("t", 2), "second");
--- a/core/src/test/java/io/hingehoist/run/HostRowsEncoderTest.java
+++ b/core/src/test/java/io/hingehoist/run/HostRowsEncoderTest.java
@@ -33,20 +33,20 @@
         0);
   }
 
-  /** Sends rows and returns what the other end makes of them. */
-  private HostRows shown(HostRows rows) {
+  /** Encodes rows and returns what the other end decodes. */
+  private HostRows roundTrip(HostRows rows) {
     return switch (sent.encode(rows)) {
-      case HostRows whole -> {
-        received.recordFull(whole);
-        yield whole;
+      case HostRows full -> {
+        received.recordFull(full);
+        yield full;
       }
       case HostRooms rooms -> received.decode(rooms).orElseThrow();
-      default -> throw new AssertionError("neither form of rows");
+      default -> throw new AssertionError("neither the full nor the short form");
     };
   }
 
   @Test
-  public void whoTheWorkersAreIsSaidOnce() {
+  public void sendsIdentifyingAttributesOnce() {
     HostRowsEncoder rows = HostRowsEncoder.create();
     assertTrue(rows.encode(new HostRows(1, List.of(row("w", CAPACITY, 100)))) instanceof HostRows);
     Message second = rows.encode(new HostRows(2, List.of(row("w", CAPACITY, 90))));
@@ -54,9 +54,9 @@
     assertTrue(second.toBytes().size() < 20, "bytes " + second.toBytes().size());
   }
 
-  /** Workers come, go, change places and grow, by a seed. */
+  /** Workers are added, removed, reordered and resized at random, with a fixed seed. */
   @Test
-  public void theOtherEndSeesWhatWasShown() {
+  public void decodesWhatWasEncoded() {
     Random random = new Random(7);
     List<WorkerRow> workers = new ArrayList<>();
     for (int i = 0; i < 2_000; i++) {
@@ -70,12 +70,12 @@
         default -> workers.replaceAll(w -> row(w.workerId(), w.capacity(), random.nextInt(9_000)));
       }
       HostRows rows = new HostRows(i, workers);
-      assertEquals(shown(rows), rows);
+      assertEquals(roundTrip(rows), rows);
     }
   }
 
   @Test
-  public void aShortFormOfOtherWorkersIsNotRead() {
+  public void doesNotDecodeTheShortFormOfOtherWorkers() {
     HostRowsDecoder fresh = HostRowsDecoder.create();
     assertEquals(
         fresh.decode(new HostRooms(1, List.of())), Optional.of(new HostRows(1, List.of())));
--- a/core/src/test/java/io/hingehoist/run/LoadSimulation.java
+++ b/core/src/test/java/io/hingehoist/run/LoadSimulation.java
@@ -32,25 +32,26 @@
 import java.util.stream.DoubleStream;
 
 /**
- * Owners that share workers under a load near or over their room, some of which may stand still or
- * be slow for a time, to weigh policies of order and placement: the share of the worth that is
- * earned, by a seed and the same each time.
+ * Simulates owners that share workers under a load near or above their capacity, some of which may
+ * be stalled or slow for a time. Serves to compare policies of ordering and placement by the share
+ * of the offered value that is earned. The result is deterministic for a given seed.
  *
- * <p>Three kinds of job come, as on the users' platform: many short tasks first in priority, then
- * pairs of middling ones, then a few long ones. A job earns its worth if it is complete by its
- * objective, a fifth of it up to three times as late.
+ * <p>As on the users' platform there are three kinds of jobs: many short tasks of the highest
+ * priority, pairs of tasks of medium length, and a few long tasks of the lowest priority. A job
+ * earns its full value if it is complete by its objective, and a fifth of it up to three times as
+ * late.
  */
 final class LoadSimulation {
-  private static final long LINK_MS = 1;
-  private static final long WORKER_MS = 1;
-  private static final long TICK_MS = 50;
-  private static final double LATE_WORTH = 0.2;
-  private static final double EARLY_REFUSAL_PRICE = 0.14;
+  private static final long LINK_DELAY_MS = 1;
+  private static final long WORKER_DELAY_MS = 1;
+  private static final long TICK_PERIOD_MS = 50;
+  private static final double LATE_VALUE_SHARE = 0.2;
+  private static final double EARLY_REFUSAL_COST_SHARE = 0.14;
   private static final int LATE_FACTOR = 3;
   private static final long BURST_LENGTH_MS = 10_000;
-  private static final long UNEVEN_LENGTH_MS = 13_000;
+  private static final long VARIATION_LENGTH_MS = 13_000;
 
-  /** The time after which callers are gone. */
+  /** The time after which callers have disconnected. */
   private static final long DEADLINE_MS = 1_500;
 
   private static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
@@ -58,179 +59,182 @@
   private static final double CPU_SPREAD = 0.2;
 
   /** One kind of job. */
-  private record Kind(int priority, double perSecond, int width, long taskMs, double worth) {}
+  private record JobKind(int priority, double perSecond, int width, long taskMs, double value) {}
 
-  /** What comes each second on eleven workers. */
+  /** The arrivals per second on eleven workers. */
   enum Mix {
-    /** Each kind is worth the same in all; some two thirds of the room are used. */
+    /** All kinds offer the same total value; about two thirds of the room are used. */
     EVEN(
-        new Kind(0, 24.1, 8, 86, 0.0291),
-        new Kind(1, 70, 2, 286, 0.01),
-        new Kind(2, 4.37, 4, 1_286, 0.16)),
-    /** Half of the worth and of the work is in the long tasks, which come last in priority. */
+        new JobKind(0, 24.1, 8, 86, 0.0291),
+        new JobKind(1, 70, 2, 286, 0.01),
+        new JobKind(2, 4.37, 4, 1_286, 0.16)),
+    /** The long tasks, of the lowest priority, make up half of the value and of the work. */
     MOSTLY_LONG(
-        new Kind(0, 19.6, 8, 86, 0.0291),
-        new Kind(1, 57.5, 2, 286, 0.01),
-        new Kind(2, 7.8, 4, 1_286, 0.16));
+        new JobKind(0, 19.6, 8, 86, 0.0291),
+        new JobKind(1, 57.5, 2, 286, 0.01),
+        new JobKind(2, 7.8, 4, 1_286, 0.16));
 
-    private final List<Kind> kinds;
+    private final List<JobKind> kinds;
 
-    Mix(Kind... kinds) {
+    Mix(JobKind... kinds) {
       this.kinds = List.of(kinds);
     }
   }
 
   /**
-   * A time in which some workers do less.
+   * A period in which some workers are slower or stalled.
    *
-   * @param workerShare the share of the workers, of those that were made first
-   * @param speed what is done in a unit of time; 0 stands still
+   * @param workerShare the share of the workers that are affected, the first ones created
+   * @param speed the speed relative to normal; 0 for a stalled worker
    */
-  record Trouble(double workerShare, double speed, long fromMs, long untilMs) {
-    static final Trouble NONE = new Trouble(0, 1, 0, 0);
+  record WorkerFault(double workerShare, double speed, long fromMs, long untilMs) {
+    static final WorkerFault NONE = new WorkerFault(0, 1, 0, 0);
 
-    /** Returns the work that is done between two moments. */
-    private double workedMs(long beganAtMs, long nowMs) {
-      long troubledMs = Math.max(0, Math.min(nowMs, untilMs) - Math.max(beganAtMs, fromMs));
-      return nowMs - beganAtMs - (1 - speed) * troubledMs;
+    /** Returns the work that is done between two points in time. */
+    private double workedMs(long startedAtMs, long nowMs) {
+      long faultyMs = Math.max(0, Math.min(nowMs, untilMs) - Math.max(startedAtMs, fromMs));
+      return nowMs - startedAtMs - (1 - speed) * faultyMs;
     }
 
-    /** Returns when some work that begins at a moment is done. */
-    private long endsAtMs(long beganAtMs, long workMs) {
-      long endsAtMs = beganAtMs + workMs;
-      while (workedMs(beganAtMs, endsAtMs) < workMs) {
-        endsAtMs += Math.max(1, (long) (workMs - workedMs(beganAtMs, endsAtMs)));
+    /** Returns the time at which work that starts at a given time is done. */
+    private long endsAtMs(long startedAtMs, long workMs) {
+      long endsAtMs = startedAtMs + workMs;
+      while (workedMs(startedAtMs, endsAtMs) < workMs) {
+        endsAtMs += Math.max(1, (long) (workMs - workedMs(startedAtMs, endsAtMs)));
       }
       return endsAtMs;
     }
   }
 
   /**
-   * A time in which more comes than usual.
+   * A period with more arrivals than usual.
    *
-   * @param priority the kind of which more comes; any below 0 for all kinds
+   * @param priority the kind of jobs with more arrivals; any value below 0 for all kinds
    */
   record Burst(int priority, double factor, long fromMs, long untilMs) {
     static final Burst NONE = new Burst(-1, 1, 0, 0);
 
-    private double factorOf(Kind kind, long nowMs) {
-      boolean meant = priority < 0 || priority == kind.priority();
-      return meant && nowMs >= fromMs && nowMs < untilMs ? factor : 1;
+    private double factorOf(JobKind kind, long nowMs) {
+      boolean applies = priority < 0 || priority == kind.priority();
+      return applies && nowMs >= fromMs && nowMs < untilMs ? factor : 1;
     }
   }
 
-  /** How many callers were served in time, late, and not at all; and of these, with room free. */
-  record Served(int inTime, int late, int unserved, int unservedWithRoom) {
-    static final Served NOBODY = new Served(0, 0, 0, 0);
+  /**
+   * The number of callers that were served in time, late, and not at all, and the number of the
+   * last that were not served although room was free.
+   */
+  record CallerOutcomes(int inTime, int late, int unserved, int unservedWithRoom) {
+    static final CallerOutcomes NONE = new CallerOutcomes(0, 0, 0, 0);
 
-    private static Served of(boolean isInTime, boolean isLate, boolean hasRoom) {
+    private static CallerOutcomes of(boolean isInTime, boolean isLate, boolean hasRoom) {
       boolean isUnserved = !isInTime && !isLate;
-      return new Served(
+      return new CallerOutcomes(
           isInTime ? 1 : 0, isLate ? 1 : 0, isUnserved ? 1 : 0, isUnserved && hasRoom ? 1 : 0);
     }
 
-    private Served plus(Served other) {
-      return new Served(
+    private CallerOutcomes plus(CallerOutcomes other) {
+      return new CallerOutcomes(
           inTime + other.inTime,
           late + other.late,
           unserved + other.unserved,
           unservedWithRoom + other.unservedWithRoom);
     }
 
-    /** Returns the share of callers that got no answer of use. */
+    /** Returns the share of callers that got no useful answer. */
     double unservedShare() {
       return (double) unserved / Math.max(1, inTime + late + unserved);
     }
   }
 
   /**
-   * What is uneven of workers, tasks and demand.
+   * The variation of workers, tasks and demand.
    *
-   * @param speeds of the workers in turn, for good; 1 is usual
-   * @param tailShare the share of tasks that take up to seven times as long as their like
-   * @param swing by how much of its mean demand goes up and down
+   * @param speeds the permanent speeds that are assigned to workers in turn; 1 is normal
+   * @param tailShare the share of tasks that take up to seven times as long as others of their kind
+   * @param demandSwing the amplitude of the demand as a fraction of its mean
    */
-  record Unevenness(List<Double> speeds, double tailShare, double swing) {
-    static final Unevenness NONE = new Unevenness(List.of(1.0), 0, 0);
-    private static final double SWING_PERIOD_MS = 13_000;
-    private static final double MAX_TAIL_ADDED = 6;
+  record Variation(List<Double> speeds, double tailShare, double demandSwing) {
+    static final Variation NONE = new Variation(List.of(1.0), 0, 0);
+    private static final double DEMAND_PERIOD_MS = 13_000;
+    private static final double MAX_TAIL_INCREMENT = 6;
 
     private double speedOf(int worker) {
       return speeds.get(worker % speeds.size());
     }
 
-    private double demandAt(long nowMs) {
-      return 1 - swing * Math.cos(2 * Math.PI * nowMs / SWING_PERIOD_MS);
+    private double demandFactorAt(long nowMs) {
+      return 1 - demandSwing * Math.cos(2 * Math.PI * nowMs / DEMAND_PERIOD_MS);
     }
 
-    private double tail(Random random) {
+    private double tailFactor(Random random) {
       return tailShare > 0 && random.nextDouble() < tailShare
-          ? 1 + MAX_TAIL_ADDED * random.nextDouble()
+          ? 1 + MAX_TAIL_INCREMENT * random.nextDouble()
           : 1;
     }
   }
 
-  private record Timed(long atMs, long sequence, Runnable action) {}
+  private record ScheduledEvent(long atMs, long sequence, Runnable action) {}
 
-  private record Caller(Kind kind, JobPlan plan, long sentAtMs, long objectiveMs) {}
+  private record Caller(JobKind kind, JobPlan plan, long sentAtMs, long objectiveMs) {}
 
-  /** A host with one worker, which runs what it is told and lists the ends. */
+  /** A host with one worker, which executes the ordered runs and reports their ends. */
   private final class Host {
     private final String id;
     private final WorkerHost decisions;
     private final Room capacity;
     private final Map<RunRef, Long> runs = new LinkedHashMap<>();
     private final List<HoldAnswer.Ended> ended = new ArrayList<>();
-    private final Trouble trouble;
+    private final WorkerFault fault;
     private final double speed;
     private final Map<Integer, OpenRuns> openRuns = new HashMap<>();
-    private final Map<Integer, Long> beatAtMs = new HashMap<>();
+    private final Map<Integer, Long> heartbeatSentAtMs = new HashMap<>();
     private Optional<HostEffect.CallHold> openHold = Optional.empty();
 
-    private Host(String id, Room capacity, Trouble trouble, double speed) {
+    private Host(String id, Room capacity, WorkerFault fault, double speed) {
       this.speed = speed;
       this.id = id;
-      this.trouble = trouble;
+      this.fault = fault;
       this.capacity = capacity;
       this.decisions = KnownZones.none(WorkerHost.create(id, 1, "z", TIMING, 1, -10_000));
       decisions.workerSeen(
           new WorkerInfo(id + "-w", "s", id, "z", false, capacity, List.of("a"), 1, 1), nowMs);
     }
 
-    private void take(int owner, Message message) {
+    private void receive(int owner, Message message) {
       if (message instanceof StartRuns && openRuns(owner).isEmpty()) {
-        beat(owner);
+        sendHeartbeat(owner);
       }
-      openRuns(owner).record(message);
+      openRuns(owner).apply(message);
       switch (message) {
-        case OwnerWaiting news -> decisions.ownerWaiting(owner, news, nowMs);
+        case OwnerWaiting update -> decisions.ownerWaiting(owner, update, nowMs);
         case StartRuns order -> {
           orders++;
           decisions.startRuns(owner, order, nowMs);
         }
         case StopRun stop -> decisions.stopRun(owner, stop.run(), nowMs);
-        default -> throw new IllegalStateException("not for a host: " + message);
+        default -> throw new IllegalStateException("not a message to a host: " + message);
       }
-      settle();
+      carryOutEffects();
     }
 
-    private void beat() {
+    private void sendHeartbeat() {
       for (int owner = 0; owner < owners.size(); owner++) {
         long periodMs =
             openRuns(owner).isEmpty()
                 ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS
                 : RunTiming.HEARTBEAT_PERIOD_MS;
-        if (nowMs - beatAtMs.getOrDefault(owner, -periodMs) >= periodMs) {
-          beat(owner);
+        if (nowMs - heartbeatSentAtMs.getOrDefault(owner, -periodMs) >= periodMs) {
+          sendHeartbeat(owner);
         }
       }
-      settle();
-      after(TICK_MS, this::beat);
+      carryOutEffects();
+      after(TICK_PERIOD_MS, this::sendHeartbeat);
     }
 
-    private void beat(int owner) {
-      beats++;
-      beatAtMs.put(owner, nowMs);
+    private void sendHeartbeat(int owner) {
+      heartbeats++;
+      heartbeatSentAtMs.put(owner, nowMs);
       decisions.ownerBeat(owner, nowMs, owners.get(owner).follows(id), nowMs);
     }
 
@@ -240,69 +244,71 @@
 
     private void tick() {
       decisions.onTick(nowMs);
-      settle();
-      after(TICK_MS, this::tick);
+      carryOutEffects();
+      after(TICK_PERIOD_MS, this::tick);
     }
 
-    private void settle() {
+    private void carryOutEffects() {
       decisions.showRows(nowMs);
       decisions.takeEffects().forEach(this::carryOut);
     }
 
     private void carryOut(HostEffect effect) {
       switch (effect) {
-        case HostEffect.CallStart call -> after(WORKER_MS, () -> start(call));
-        case HostEffect.CallHold call -> after(WORKER_MS, () -> hold(call));
-        case HostEffect.ToOwner to -> after(LINK_MS, () -> arrive((int) to.sessionId(), to));
-        case HostEffect.CallStop call -> after(WORKER_MS, () -> stop(call));
-        case HostEffect.CloseSession close -> throw new IllegalStateException("lease over");
+        case HostEffect.CallStart call -> after(WORKER_DELAY_MS, () -> start(call));
+        case HostEffect.CallHold call -> after(WORKER_DELAY_MS, () -> hold(call));
+        case HostEffect.ToOwner to ->
+            after(LINK_DELAY_MS, () -> receiveAtOwner((int) to.sessionId(), to));
+        case HostEffect.CallStop call -> after(WORKER_DELAY_MS, () -> stop(call));
+        case HostEffect.CloseSession close ->
+            throw new IllegalStateException("session closed by host, lease expired");
         case HostEffect.ForgetAddress forget -> {}
         case HostEffect.Noted noted -> {}
       }
     }
 
-    private void arrive(int owner, HostEffect.ToOwner to) {
+    private void receiveAtOwner(int owner, HostEffect.ToOwner to) {
       JobOwner jobs = owners.get(owner);
-      openRuns(owner).record(to.message());
+      openRuns(owner).apply(to.message());
       switch (to.message()) {
         case SessionOpened opened ->
             jobs.sessionOpened(id, opened.zone(), 1, opened.formerRunsOver());
         case HostRows rows -> {
-          rowsShown++;
+          rowUpdates++;
           jobs.hostRowsReceived(id, rows, nowMs);
         }
         case RunEnded end -> jobs.runEnded(id, end, nowMs);
         case RunNotStarted report -> {
-          refusals++;
+          refusedStarts++;
           jobs.runNotStarted(id, report, nowMs);
         }
-        default -> throw new IllegalStateException("not for an owner: " + to.message());
+        default -> throw new IllegalStateException("not a message to an owner: " + to.message());
       }
-      LoadSimulation.this.settle(owner);
+      LoadSimulation.this.carryOutEffects(owner);
     }
 
     private void start(HostEffect.CallStart call) {
       runs.put(call.run(), nowMs);
       decisions.startAnswered(id + "-w", call.run(), new StartAnswer.Started(nowMs), nowMs);
       long runMs = Math.max(1, (long) (workMs.get(call.run().task()) / speed));
-      at(trouble.endsAtMs(nowMs, runMs), () -> end(call.run(), RunEnd.DONE));
-      settle();
+      at(fault.endsAtMs(nowMs, runMs), () -> end(call.run(), RunEnd.DONE));
+      carryOutEffects();
     }
 
     private boolean hasRoomFor(long cpuMilli) {
       long usedMilli = runs.keySet().stream().mapToLong(run -> cpuOf.get(run.task())).sum();
-      return trouble.speed() > 0 && usedMilli + cpuMilli <= capacity.cpuMilli();
+      return fault.speed() > 0 && usedMilli + cpuMilli <= capacity.cpuMilli();
     }
 
     private void stop(HostEffect.CallStop call) {
       decisions.stopAnswered(id + "-w", call.run(), true, nowMs);
       end(call.run(), RunEnd.STOPPED);
-      settle();
+      carryOutEffects();
     }
 
-    private void end(RunRef run, RunEnd how) {
+    private void end(RunRef run, RunEnd end) {
       if (runs.remove(run) != null) {
-        ended.add(new HoldAnswer.Ended(ended.size() + 1, run, how));
+        ended.add(new HoldAnswer.Ended(ended.size() + 1, run, end));
         openHold.ifPresent(this::answer);
       }
     }
@@ -319,8 +325,8 @@
     private List<HoldAnswer.Running> running() {
       List<HoldAnswer.Running> rows = new ArrayList<>();
       runs.forEach(
-          (run, beganAtMs) -> {
-            double workedMs = speed * trouble.workedMs(beganAtMs, nowMs);
+          (run, startedAtMs) -> {
+            double workedMs = speed * fault.workedMs(startedAtMs, nowMs);
             double share = workedMs / Math.max(1, workMs.get(run.task()));
             rows.add(new HoldAnswer.Running(run, (int) Math.min(99, 100 * share)));
           });
@@ -329,40 +335,43 @@
 
     private void answer(HostEffect.CallHold call) {
       openHold = Optional.empty();
-      List<HoldAnswer.Ended> news = List.copyOf(ended.subList((int) call.lastSeen(), ended.size()));
-      HoldAnswer answer = new HoldAnswer.Listed(nowMs, running(), news);
+      List<HoldAnswer.Ended> newEnds =
+          List.copyOf(ended.subList((int) call.lastSeen(), ended.size()));
+      HoldAnswer answer = new HoldAnswer.Listed(nowMs, running(), newEnds);
       after(
-          WORKER_MS,
+          WORKER_DELAY_MS,
           () -> {
             decisions.holdAnswered(id + "-w", answer, nowMs);
-            settle();
+            carryOutEffects();
           });
     }
   }
 
-  private final Unevenness uneven;
+  private final Variation variation;
   private final Random random;
-  private final PriorityQueue<Timed> timeline =
-      new PriorityQueue<>(Comparator.comparingLong(Timed::atMs).thenComparingLong(Timed::sequence));
+  private final PriorityQueue<ScheduledEvent> timeline =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledEvent::atMs)
+              .thenComparingLong(ScheduledEvent::sequence));
   private final List<JobOwner> owners = new ArrayList<>();
   private final Map<String, Host> hosts = new LinkedHashMap<>();
   private final Map<String, Caller> callers = new HashMap<>();
   private final Map<String, Long> workMs = new HashMap<>();
   private final Mix mix;
-  private final double[] owed;
-  private final double[] earned;
+  private final double[] offeredValue;
+  private final double[] earnedValue;
   private long sequence;
-  private long refusals;
-  private long rowsShown;
-  private long beats;
+  private long refusedStarts;
+  private long rowUpdates;
+  private long heartbeats;
   private long orders;
-  private double heldWorth;
-  private final Map<Integer, Served> served = new HashMap<>();
+  private double refusalCost;
+  private final Map<Integer, CallerOutcomes> outcomes = new HashMap<>();
   private Burst burst = Burst.NONE;
   private List<Double> ownerShares = List.of();
   private final Map<String, Integer> ownerOf = new HashMap<>();
-  private final Map<Integer, Double> owedByOwner = new HashMap<>();
-  private final Map<Integer, Double> earnedByOwner = new HashMap<>();
+  private final Map<Integer, Double> offeredValueByOwner = new HashMap<>();
+  private final Map<Integer, Double> earnedValueByOwner = new HashMap<>();
   private final Map<String, Long> cpuOf = new HashMap<>();
   private long nowMs = 1;
   private int jobCount;
@@ -373,9 +382,9 @@
       int ownerCount,
       int hostCount,
       int followedHosts,
-      Trouble trouble,
-      Unevenness uneven) {
-    this(seed, mix, ownerCount, hostCount, followedHosts, trouble, uneven, 0);
+      WorkerFault fault,
+      Variation variation) {
+    this(seed, mix, ownerCount, hostCount, followedHosts, fault, variation, 0);
   }
 
   private LoadSimulation(
@@ -384,14 +393,14 @@
       int ownerCount,
       int hostCount,
       int followedHosts,
-      Trouble trouble,
-      Unevenness uneven,
+      WorkerFault fault,
+      Variation variation,
       int reservedPercent) {
-    this.uneven = uneven;
+    this.variation = variation;
     this.random = new Random(seed);
     this.mix = mix;
-    this.owed = new double[mix.kinds.size()];
-    this.earned = new double[mix.kinds.size()];
+    this.offeredValue = new double[mix.kinds.size()];
+    this.earnedValue = new double[mix.kinds.size()];
     for (int i = 0; i < ownerCount; i++) {
       owners.add(
           JobOwner.create(
@@ -399,38 +408,37 @@
     }
     for (int i = 0; i < hostCount; i++) {
       long cpu = i % 3 == 2 ? 24_000 : 16_000;
-      Trouble mine = i < trouble.workerShare() * hostCount ? trouble : Trouble.NONE;
+      WorkerFault ownFault = i < fault.workerShare() * hostCount ? fault : WorkerFault.NONE;
       Room room = new Room(cpu, 64_000, 0);
-      hosts.put("h" + i, new Host("h" + i, room, mine, uneven.speedOf(i)));
+      hosts.put("h" + i, new Host("h" + i, room, ownFault, variation.speedOf(i)));
     }
   }
 
   /**
-   * Plays a load without trouble.
+   * Simulates a load without faults.
    *
-   * @param loadFactor the load as a multiple of the usual one, which fills some two thirds of the
+   * @param loadFactor the load as a multiple of the baseline, which fills about two thirds of the
    *     room of eleven workers
    */
-  static LoadSimulation play(
+  static LoadSimulation run(
       long seed, int ownerCount, int hostCount, double loadFactor, long lengthMs) {
-    return play(seed, ownerCount, hostCount, hostCount, loadFactor, lengthMs, Trouble.NONE);
+    return run(seed, ownerCount, hostCount, hostCount, loadFactor, lengthMs, WorkerFault.NONE);
   }
 
-  /** Plays a load on owners that follow some of the hosts closely, with a trouble of workers. */
-  static LoadSimulation play(
+  /** Simulates a load on owners that follow some of the hosts, with a fault of workers. */
+  static LoadSimulation run(
       long seed,
       int ownerCount,
       int hostCount,
       int followedHosts,
       double loadFactor,
       long lengthMs,
-      Trouble trouble) {
-    return play(
-        seed, Mix.EVEN, ownerCount, hostCount, followedHosts, loadFactor, lengthMs, trouble);
+      WorkerFault fault) {
+    return run(seed, Mix.EVEN, ownerCount, hostCount, followedHosts, loadFactor, lengthMs, fault);
   }
 
-  /** Plays a mix of work. */
-  static LoadSimulation play(
+  /** Simulates a given mix of jobs. */
+  static LoadSimulation run(
       long seed,
       Mix mix,
       int ownerCount,
@@ -438,23 +446,22 @@
       int followedHosts,
       double loadFactor,
       long lengthMs,
-      Trouble trouble) {
+      WorkerFault fault) {
     LoadSimulation load =
-        new LoadSimulation(
-            seed, mix, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
-    load.run(loadFactor, lengthMs);
+        new LoadSimulation(seed, mix, ownerCount, hostCount, followedHosts, fault, Variation.NONE);
+    load.simulate(loadFactor, lengthMs);
     return load;
   }
 
-  /** Plays a burst on top of a load on owners that keep room for urgent work. */
-  static LoadSimulation playReserved(
+  /** Simulates a burst on top of a load on owners that reserve room for urgent work. */
+  static LoadSimulation runReserved(
       long seed,
       int ownerCount,
       int hostCount,
       int followedHosts,
       double loadFactor,
       Burst burst,
-      Trouble trouble,
+      WorkerFault fault,
       int reservedPercent) {
     LoadSimulation load =
         new LoadSimulation(
@@ -463,135 +470,135 @@
             ownerCount,
             hostCount,
             followedHosts,
-            trouble,
-            Unevenness.NONE,
+            fault,
+            Variation.NONE,
             reservedPercent);
     load.burst = burst;
-    load.run(loadFactor * hostCount / 11, BURST_LENGTH_MS);
+    load.simulate(loadFactor * hostCount / 11, BURST_LENGTH_MS);
     return load;
   }
 
-  /** Plays a burst on top of a load, with a trouble of workers. */
-  static LoadSimulation playBurst(
+  /** Simulates a burst on top of a load, with a fault of workers. */
+  static LoadSimulation runBurst(
       long seed,
       int ownerCount,
       int hostCount,
       int followedHosts,
       double loadFactor,
       Burst burst,
-      Trouble trouble) {
+      WorkerFault fault) {
     LoadSimulation load =
         new LoadSimulation(
-            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
+            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, fault, Variation.NONE);
     load.burst = burst;
-    load.run(loadFactor * hostCount / 11, BURST_LENGTH_MS);
+    load.simulate(loadFactor * hostCount / 11, BURST_LENGTH_MS);
     return load;
   }
 
-  /** Plays a load on an uneven fleet whose owners get these shares of the callers. */
-  static LoadSimulation playUnequalOwners(
+  /** Simulates a load on a varied fleet whose owners get the given shares of the callers. */
+  static LoadSimulation runUnequalOwners(
       long seed, List<Double> ownerShares, int hostCount, int followedHosts, double loadFactor) {
-    Unevenness uneven = new Unevenness(List.of(0.6, 1.0, 1.6), 0.03, 0.55);
+    Variation variation = new Variation(List.of(0.6, 1.0, 1.6), 0.03, 0.55);
     int ownerCount = ownerShares.size();
     LoadSimulation load =
         new LoadSimulation(
-            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
+            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, WorkerFault.NONE, variation);
     load.ownerShares = ownerShares;
-    load.run(loadFactor * hostCount / 11, UNEVEN_LENGTH_MS);
+    load.simulate(loadFactor * hostCount / 11, VARIATION_LENGTH_MS);
     return load;
   }
 
-  /** Returns the share of the worth that was in time at some owners, from one to before another. */
+  /** Returns the share of the value that was in time at a range of owners, its end exclusive. */
   double inTimeShareOf(int fromOwner, int toOwner) {
-    double owedThere = 0;
+    double offeredThere = 0;
     double earnedThere = 0;
     for (int owner = fromOwner; owner < toOwner; owner++) {
-      owedThere += owedByOwner.getOrDefault(owner, 0.0);
-      earnedThere += earnedByOwner.getOrDefault(owner, 0.0);
+      offeredThere += offeredValueByOwner.getOrDefault(owner, 0.0);
+      earnedThere += earnedValueByOwner.getOrDefault(owner, 0.0);
     }
-    return earnedThere / owedThere;
+    return earnedThere / offeredThere;
   }
 
-  /** Plays a load on an uneven fleet. */
-  static LoadSimulation playUneven(
+  /** Simulates a load on a varied fleet. */
+  static LoadSimulation runVaried(
       long seed,
       int ownerCount,
       int hostCount,
       int followedHosts,
       double loadFactor,
-      Unevenness uneven) {
+      Variation variation) {
     LoadSimulation load =
         new LoadSimulation(
-            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
-    load.run(loadFactor * hostCount / 11, UNEVEN_LENGTH_MS);
+            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, WorkerFault.NONE, variation);
+    load.simulate(loadFactor * hostCount / 11, VARIATION_LENGTH_MS);
     return load;
   }
 
-  /** Returns how callers fared. */
-  Served served() {
-    return served.values().stream().reduce(Served.NOBODY, Served::plus);
+  /** Returns the outcomes of all callers. */
+  CallerOutcomes outcomes() {
+    return outcomes.values().stream().reduce(CallerOutcomes.NONE, CallerOutcomes::plus);
   }
 
-  /** Returns how the callers of one priority fared. */
-  Served servedOf(int priority) {
-    return served.getOrDefault(priority, Served.NOBODY);
+  /** Returns the outcomes of the callers of one priority. */
+  CallerOutcomes outcomesOf(int priority) {
+    return outcomes.getOrDefault(priority, CallerOutcomes.NONE);
   }
 
-  /** Returns the share of the worth that was earned. */
+  /** Returns the earned share of the offered value. */
   double earnedShare() {
-    return DoubleStream.of(earned).sum() / owedInAll();
+    return DoubleStream.of(earnedValue).sum() / totalOfferedValue();
   }
 
-  /** Returns the share of the worth that was earned of the jobs of one priority. */
+  /** Returns the earned share of the offered value of the jobs of one priority. */
   double earnedShareOf(int priority) {
-    return earned[priority] / owed[priority];
+    return earnedValue[priority] / offeredValue[priority];
   }
 
-  /** Returns the share of the worth that refusals cost because they came late. */
-  double heldShare() {
-    return heldWorth / owedInAll();
+  /** Returns the cost of late refusals as a share of the offered value. */
+  double refusalCostShare() {
+    return refusalCost / totalOfferedValue();
   }
 
-  private double owedInAll() {
-    return DoubleStream.of(owed).sum();
+  private double totalOfferedValue() {
+    return DoubleStream.of(offeredValue).sum();
   }
 
-  /** Returns the number of messages in which hosts showed their workers. */
-  long rowsShown() {
-    return rowsShown;
+  /** Returns the number of messages in which hosts reported their workers. */
+  long rowUpdates() {
+    return rowUpdates;
   }
 
   /** Returns the number of heartbeats that owners sent. */
-  long beats() {
-    return beats;
+  long heartbeats() {
+    return heartbeats;
   }
 
-  /** Returns the number of orders that owners sent; each carries the text of its job. */
+  /** Returns the number of orders that owners sent; each carries the specification of its job. */
   long orders() {
     return orders;
   }
 
-  /** Returns the number of starts that were refused for want of room. */
-  long refusals() {
-    return refusals;
+  /** Returns the number of starts that were refused for lack of room. */
+  long refusedStarts() {
+    return refusedStarts;
   }
 
-  private void run(double loadFactor, long lengthMs) {
+  private void simulate(double loadFactor, long lengthMs) {
     for (Host host : hosts.values()) {
       for (int owner = 0; owner < owners.size(); owner++) {
         host.decisions.sessionBegan(owner, "o" + owner, nowMs);
       }
-      host.beat();
+      host.sendHeartbeat();
       host.tick();
     }
     for (int owner = 0; owner < owners.size(); owner++) {
       tick(owner);
     }
-    // Traffic begins once the workers are known.
+    // Jobs arrive only once the workers are known.
     nowMs += 500;
-    mix.kinds.forEach(kind -> arrive(kind, loadFactor, lengthMs));
+    mix.kinds.forEach(kind -> scheduleArrivals(kind, loadFactor, lengthMs));
     while (!timeline.isEmpty() && timeline.peek().atMs() <= lengthMs + 10_000) {
-      Timed next = timeline.remove();
+      ScheduledEvent next = timeline.remove();
       nowMs = Math.max(nowMs, next.atMs());
       next.action().run();
     }
@@ -599,12 +606,12 @@
 
   private void tick(int owner) {
     owners.get(owner).onTick(nowMs);
-    settle(owner);
-    after(TICK_MS, () -> tick(owner));
+    carryOutEffects(owner);
+    after(TICK_PERIOD_MS, () -> tick(owner));
   }
 
-  private void arrive(Kind kind, double loadFactor, long untilMs) {
-    double factor = loadFactor * burst.factorOf(kind, nowMs) * uneven.demandAt(nowMs);
+  private void scheduleArrivals(JobKind kind, double loadFactor, long untilMs) {
+    double factor = loadFactor * burst.factorOf(kind, nowMs) * variation.demandFactorAt(nowMs);
     double perSecond = kind.perSecond() * factor;
     double gapMs = -Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
     long atMs = nowMs + Math.max(1, Math.round(gapMs));
@@ -613,7 +620,7 @@
           atMs,
           () -> {
             submit(kind);
-            arrive(kind, loadFactor, untilMs);
+            scheduleArrivals(kind, loadFactor, untilMs);
           });
     }
   }
@@ -622,21 +629,21 @@
     return Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
   }
 
-  private void submit(Kind kind) {
+  private void submit(JobKind kind) {
     String id = "%016x".formatted(++jobCount);
     int width = (int) Math.max(1, Math.round(kind.width() * spread(0.4)));
     double jobMs = kind.taskMs() * spread(0.4);
     long cpu = (long) Math.min(2_300, 1_600 * spread(CPU_SPREAD));
-    long longestMs = 0;
+    long longestTaskMs = 0;
     for (int i = 0; i < width; i++) {
-      long taskMs = (long) (jobMs * spread(0.15) * uneven.tail(random));
+      long taskMs = (long) (jobMs * spread(0.15) * variation.tailFactor(random));
       workMs.put(TaskNames.of(id, 0, i), taskMs);
       cpuOf.put(TaskNames.of(id, 0, i), cpu);
-      longestMs = Math.max(longestMs, taskMs);
+      longestTaskMs = Math.max(longestTaskMs, taskMs);
     }
     long estimateMs = (long) (jobMs * spread(ESTIMATE_SPREAD));
     StepPlan step = StepPlan.of(width, new Room(cpu, 64, 0), estimateMs);
-    long guessedMs = 60 + (long) (1.6 * estimateMs);
+    long expectedObjectiveMs = 60 + (long) (1.6 * estimateMs);
     JobPlan plan =
         new JobPlan(
             id,
@@ -645,45 +652,45 @@
             "spec",
             kind.priority(),
             2,
-            guessedMs,
-            LATE_FACTOR * guessedMs,
+            expectedObjectiveMs,
+            LATE_FACTOR * expectedObjectiveMs,
             List.of(step));
-    Caller caller = new Caller(kind, plan, nowMs, 60 + (long) (1.6 * longestMs));
+    Caller caller = new Caller(kind, plan, nowMs, 60 + (long) (1.6 * longestTaskMs));
     callers.put(id, caller);
-    owed[kind.priority()] += worth(caller);
+    offeredValue[kind.priority()] += value(caller);
     int owner = nextOwner();
     ownerOf.put(id, owner);
     owners.get(owner).submit(plan, nowMs);
-    settle(owner);
+    carryOutEffects(owner);
   }
 
   private int nextOwner() {
     if (ownerShares.isEmpty()) {
       return random.nextInt(owners.size());
     }
-    double left = random.nextDouble();
+    double remaining = random.nextDouble();
     int owner = 0;
-    while (owner < ownerShares.size() - 1 && left >= ownerShares.get(owner)) {
-      left -= ownerShares.get(owner);
+    while (owner < ownerShares.size() - 1 && remaining >= ownerShares.get(owner)) {
+      remaining -= ownerShares.get(owner);
       owner++;
     }
     return owner;
   }
 
-  private static double worth(Caller caller) {
+  private static double value(Caller caller) {
     StepPlan step = caller.plan().steps().getFirst();
     double work = (caller.objectiveMs() - 60) / 1.6 * step.count();
     double mean = (double) caller.kind().taskMs() * caller.kind().width();
-    return caller.kind().worth() * Math.min(4, 0.3 + 0.7 * work / mean);
+    return caller.kind().value() * Math.min(4, 0.3 + 0.7 * work / mean);
   }
 
-  private void settle(int owner) {
+  private void carryOutEffects(int owner) {
     JobOwner jobs = owners.get(owner);
     jobs.place(nowMs);
     for (OwnerEffect effect : jobs.drainEffects()) {
       switch (effect) {
         case OwnerEffect.SendToHost to ->
-            after(LINK_MS, () -> hosts.get(to.hostId()).take(owner, to.message()));
+            after(LINK_DELAY_MS, () -> hosts.get(to.hostId()).receive(owner, to.message()));
         case OwnerEffect.AnswerJob answer -> answered(callers.get(answer.jobId()), answer.end());
         case OwnerEffect.LogDecision noted -> {}
       }
@@ -692,52 +699,55 @@
 
   private void answered(Caller caller, JobEnd end) {
     long ms = nowMs - caller.sentAtMs();
-    noteServed(caller, end, ms);
-    noteOwner(caller, end, ms);
+    recordOutcome(caller, end, ms);
+    recordOwnerValue(caller, end, ms);
     if (end instanceof JobEnd.Refused) {
-      heldWorth += heldPrice(caller, ms);
+      refusalCost += refusalCostOf(caller, ms);
     }
     if (!(end instanceof JobEnd.Completed) || ms > LATE_FACTOR * caller.objectiveMs()) {
       return;
     }
-    double share = ms <= caller.objectiveMs() ? 1 : LATE_WORTH;
-    earned[caller.kind().priority()] += share * worth(caller);
+    double share = ms <= caller.objectiveMs() ? 1 : LATE_VALUE_SHARE;
+    earnedValue[caller.kind().priority()] += share * value(caller);
   }
 
-  private void noteServed(Caller caller, JobEnd end, long ms) {
-    boolean completed = end instanceof JobEnd.Completed && ms <= longestMs(caller);
+  private void recordOutcome(Caller caller, JobEnd end, long ms) {
+    boolean completed = end instanceof JobEnd.Completed && ms <= maxUsefulMs(caller);
     boolean inTime = completed && ms <= caller.objectiveMs();
     long cpuMilli = caller.plan().steps().getFirst().need().cpuMilli();
     boolean hasRoom = hosts.values().stream().anyMatch(host -> host.hasRoomFor(cpuMilli));
-    served.merge(
-        caller.kind().priority(), Served.of(inTime, completed && !inTime, hasRoom), Served::plus);
+    outcomes.merge(
+        caller.kind().priority(),
+        CallerOutcomes.of(inTime, completed && !inTime, hasRoom),
+        CallerOutcomes::plus);
   }
 
-  private void noteOwner(Caller caller, JobEnd end, long ms) {
+  private void recordOwnerValue(Caller caller, JobEnd end, long ms) {
     int owner = ownerOf.get(caller.plan().jobId());
-    double worth = worth(caller);
+    double value = value(caller);
     boolean inTime = end instanceof JobEnd.Completed && ms <= caller.objectiveMs();
-    owedByOwner.merge(owner, worth, Double::sum);
-    earnedByOwner.merge(owner, inTime ? worth : 0, Double::sum);
+    offeredValueByOwner.merge(owner, value, Double::sum);
+    earnedValueByOwner.merge(owner, inTime ? value : 0, Double::sum);
   }
 
-  /** Callers of long work wait for as long as it takes and their time on top. */
-  private static long longestMs(Caller caller) {
+  /** Returns the time that a caller waits for its answer; callers of long work wait longer. */
+  private static long maxUsefulMs(Caller caller) {
     return Math.max(DEADLINE_MS, LATE_FACTOR * caller.objectiveMs());
   }
 
   /**
-   * What a refusal costs beyond the job: little if it comes early, all of it again if it is late.
+   * Returns the cost of a refusal beyond the loss of the job's value: nothing at first, a small
+   * share of the value if the refusal is moderately late, and the whole value if it is very late.
    */
-  private static double heldPrice(Caller caller, long ms) {
+  private static double refusalCostOf(Caller caller, long ms) {
     if (ms > LATE_FACTOR * caller.objectiveMs() / 2) {
-      return worth(caller);
+      return value(caller);
     }
-    return ms > caller.objectiveMs() / 4 ? EARLY_REFUSAL_PRICE * worth(caller) : 0;
+    return ms > caller.objectiveMs() / 4 ? EARLY_REFUSAL_COST_SHARE * value(caller) : 0;
   }
 
   private void at(long atMs, Runnable action) {
-    timeline.add(new Timed(atMs, ++sequence, action));
+    timeline.add(new ScheduledEvent(atMs, ++sequence, action));
   }
 
   private void after(long delayMs, Runnable action) {
--- a/core/src/test/java/io/hingehoist/run/OpenRunsTest.java
+++ b/core/src/test/java/io/hingehoist/run/OpenRunsTest.java
@@ -23,24 +23,24 @@
   }
 
   @Test
-  public void aRunIsOpenFromItsOrderUntilItIsReportedOver() {
+  public void aRunIsOpenFromItsOrderUntilItsReportedEnd() {
     OpenRuns runs = OpenRuns.create();
     assertTrue(runs.isEmpty());
-    runs.record(order(ONE, TWO));
-    runs.record(new RunEnded(ONE, RunEnd.DONE, 5));
+    runs.apply(order(ONE, TWO));
+    runs.apply(new RunEnded(ONE, RunEnd.DONE, 5));
     assertFalse(runs.isEmpty());
-    runs.record(new RunNotStarted(TWO, RunRefusal.ROOM));
+    runs.apply(new RunNotStarted(TWO, RunRefusal.ROOM));
     assertTrue(runs.isEmpty());
   }
 
   @Test
-  public void otherMessagesAndUnknownRunsChangeNothing() {
+  public void otherMessagesAndUnknownRunsAreIgnored() {
     OpenRuns runs = OpenRuns.create();
-    runs.record(new OwnerBeat(1, true));
-    runs.record(new RunEnded(ONE, RunEnd.LOST, 0));
+    runs.apply(new OwnerBeat(1, true));
+    runs.apply(new RunEnded(ONE, RunEnd.LOST, 0));
     assertTrue(runs.isEmpty());
-    runs.record(order(ONE));
-    runs.record(new RunEnded(new RunRef("j.0.0", 2), RunEnd.LOST, 0));
+    runs.apply(order(ONE));
+    runs.apply(new RunEnded(new RunRef("j.0.0", 2), RunEnd.LOST, 0));
     assertFalse(runs.isEmpty());
   }
 }
