--- a/core/src/test/java/io/hingehoist/run/RunSimulation.java
+++ b/core/src/test/java/io/hingehoist/run/RunSimulation.java
@@ -33,40 +33,41 @@
 import java.util.TreeSet;
 
 /**
- * Owners, hosts, workers and callers, with links that are cut, boxes that stand still and orders
- * that are carried out late, played by a seed. After each step it checks that no worker is over its
- * room and that no task runs twice at the same time.
+ * Simulates owners, hosts, workers and callers with injected faults: links are cut, processes are
+ * paused, and calls are carried out late. The sequence of events is determined by a seed. After
+ * each step the simulation checks that no worker exceeds its room and that no task runs twice at
+ * the same time.
  */
 final class RunSimulation {
   static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
   private static final long STEP_MS = 5;
   private static final long HEARTBEAT_PERIOD_MS = 150;
-  private static final long RESUBMIT_MS = 1_300;
-  private static final long LATE_LIMIT_MS = 12_000;
-  private static final long LEAST_SLOW_MS = 20;
-  private static final int SLOW_SPREAD_MS = 780;
+  private static final long RESUBMIT_AFTER_MS = 1_300;
+  private static final long MAX_LATE_CALL_DELAY_MS = 12_000;
+  private static final long MIN_SLOW_CALL_MS = 20;
+  private static final int SLOW_CALL_SPREAD_MS = 780;
   private static final Room NEED = new Room(1_600, 100, 0);
 
-  /** Fewer than there are hosts, so that runs are ordered on fresh and on older views. */
+  /** Fewer than there are hosts, so that runs are ordered on recent and on older host views. */
   private static final int FOLLOWED_HOSTS = 2;
 
-  /** What may go wrong beside what always does. */
-  enum Trouble {
-    /** Open connections between owners and hosts fall silent for good. */
+  /** Faults that are injected in addition to those that always are. */
+  enum Fault {
+    /** Open connections between owners and hosts fall silent permanently. */
     SILENT_CONNECTIONS,
     /** Calls to workers are carried out late, and some starts are refused. */
     SLOW_CALLS,
-    /** Connections to a worker are refused while it goes on. */
+    /** Connections to a worker are refused while its runs continue. */
     REFUSED_CONNECTIONS
   }
 
-  private record Timed(long atMs, long sequence, Runnable action) {}
+  private record ScheduledEvent(long atMs, long sequence, Runnable action) {}
 
   final class OwnerBox {
     final String id;
     JobOwner jobs;
     final Map<String, Session> sessions = new HashMap<>();
-    long standsUntilMs;
+    long pausedUntilMs;
     long lastTickMs;
 
     OwnerBox(String id) {
@@ -74,11 +75,11 @@
       this.jobs = newOwner(id);
     }
 
-    boolean stands() {
-      return nowMs < standsUntilMs;
+    boolean isPaused() {
+      return nowMs < pausedUntilMs;
     }
 
-    void settle() {
+    void carryOutEffects() {
       jobs.place(nowMs);
       for (OwnerEffect effect : jobs.drainEffects()) {
         switch (effect) {
@@ -98,22 +99,24 @@
 
   final class HostBox {
     final String id;
-    final long bornMs;
+    final long startedAtMs;
     WorkerHost host;
     FakeWorker worker;
     final Map<Long, Session> sessions = new HashMap<>();
-    long standsUntilMs;
+    long pausedUntilMs;
     long version;
 
-    /** Until when calls to the worker are slow, some starts refused, or connections refused. */
-    long slowUntilMs;
+    /**
+     * The end times of periods with slow calls, with refused starts and with refused connections.
+     */
+    long slowCallsUntilMs;
 
-    long shedsUntilMs;
-    long refusesUntilMs;
+    long refusesStartsUntilMs;
+    long refusesConnectionsUntilMs;
 
     HostBox(String id) {
       this.id = id;
-      this.bornMs = nowMs;
+      this.startedAtMs = nowMs;
       this.worker = new FakeWorker(id + "-w1", id + ":1");
       restart();
     }
@@ -124,11 +127,11 @@
       sessions.clear();
     }
 
-    boolean stands() {
-      return nowMs < standsUntilMs;
+    boolean isPaused() {
+      return nowMs < pausedUntilMs;
     }
 
-    void settle() {
+    void carryOutEffects() {
       host.showRows(nowMs);
       for (HostEffect effect : host.takeEffects()) {
         carryOut(effect);
@@ -185,7 +188,7 @@
               && !worker.hasNewEnds(call.lastSeen());
       if (waits && caller == host) {
         if (nowMs == untilMs - call.waitMs()) {
-          worker.hold(call.deadlineMs(), call.token(), 0, nowMs);
+          worker.poll(call.deadlineMs(), call.token(), 0, nowMs);
         }
         after(STEP_MS, () -> hold(caller, call, untilMs));
         return;
@@ -193,7 +196,7 @@
       callWorker(
           call.workerId(),
           call.patience(),
-          w -> w.hold(call.deadlineMs(), call.token(), call.lastSeen(), nowMs),
+          w -> w.poll(call.deadlineMs(), call.token(), call.lastSeen(), nowMs),
           new HoldAnswer.Unanswered(),
           new HoldAnswer.Gone(),
           new HoldAnswer.NobodyThere(),
@@ -201,7 +204,7 @@
     }
 
     private StartAnswer start(FakeWorker target, HostEffect.CallStart call) {
-      if (nowMs < shedsUntilMs && slowness.nextBoolean()) {
+      if (nowMs < refusesStartsUntilMs && slowCallRandom.nextBoolean()) {
         return new StartAnswer.Refused(RunRefusal.UNHEALTHY);
       }
       return target.start(call.run(), NEED, runMs(), call.deadlineMs(), call.token(), nowMs);
@@ -212,20 +215,20 @@
         HostEffect.Patience patience,
         java.util.function.Function<FakeWorker, A> call,
         A unanswered,
-        A gone,
-        A nobodyThere,
+        A otherInstance,
+        A connectionRefused,
         java.util.function.Consumer<A> answer) {
       WorkerHost caller = host;
       FakeWorker target = worker;
       if (!target.up) {
-        reply(caller, 100, () -> answer.accept(dark ? unanswered : nobodyThere));
-      } else if (nowMs < refusesUntilMs) {
-        reply(caller, 1, () -> answer.accept(nobodyThere));
+        reply(caller, 100, () -> answer.accept(unreachable ? unanswered : connectionRefused));
+      } else if (nowMs < refusesConnectionsUntilMs) {
+        reply(caller, 1, () -> answer.accept(connectionRefused));
       } else if (!target.id.equals(workerId)) {
-        reply(caller, 1, () -> answer.accept(gone));
-      } else if (random.nextInt(1_000) < lateShare) {
+        reply(caller, 1, () -> answer.accept(otherInstance));
+      } else if (random.nextInt(1_000) < lateCallPermille) {
         after(
-            2_000 + random.nextLong(LATE_LIMIT_MS - 2_000),
+            2_000 + random.nextLong(MAX_LATE_CALL_DELAY_MS - 2_000),
             () -> {
               if (target.up) {
                 A ignored = call.apply(target);
@@ -233,7 +236,7 @@
               }
             });
         reply(caller, 150, () -> answer.accept(unanswered));
-      } else if (nowMs < slowUntilMs && slowness.nextBoolean()) {
+      } else if (nowMs < slowCallsUntilMs && slowCallRandom.nextBoolean()) {
         callSlowly(target, patience, call, unanswered, answer);
       } else {
         A result = call.apply(target);
@@ -241,7 +244,7 @@
       }
     }
 
-    /** The call is carried out in any case, and answered if its host still waits by then. */
+    /** The call is always carried out, and answered if the host is still waiting by then. */
     private <A> void callSlowly(
         FakeWorker target,
         HostEffect.Patience patience,
@@ -249,23 +252,23 @@
         A unanswered,
         java.util.function.Consumer<A> answer) {
       WorkerHost caller = host;
-      long delayMs = LEAST_SLOW_MS + slowness.nextInt(SLOW_SPREAD_MS);
-      boolean awaited = delayMs < patience.timeoutMs();
+      long delayMs = MIN_SLOW_CALL_MS + slowCallRandom.nextInt(SLOW_CALL_SPREAD_MS);
+      boolean isAnswered = delayMs < patience.timeoutMs();
       after(
           delayMs,
           () -> {
             A result = target.up ? call.apply(target) : unanswered;
             trace.add(nowMs + " slow " + result);
-            if (awaited) {
+            if (isAnswered) {
               reply(caller, 1, () -> answer.accept(result));
             }
           });
-      if (!awaited) {
+      if (!isAnswered) {
         reply(caller, patience.timeoutMs(), () -> answer.accept(unanswered));
       }
     }
 
-    /** A box that stands still takes its answers in when it goes on. */
+    /** A paused box processes its responses when it resumes. */
     private void reply(WorkerHost caller, long delayMs, Runnable action) {
       after(
           delayMs,
@@ -273,26 +276,27 @@
             if (caller != host) {
               return;
             }
-            if (stands()) {
-              reply(caller, standsUntilMs - nowMs + 1, action);
+            if (isPaused()) {
+              reply(caller, pausedUntilMs - nowMs + 1, action);
               return;
             }
             action.run();
-            settle();
+            carryOutEffects();
           });
     }
   }
 
   /**
-   * A session between an owner and a host; what a cut holds up arrives after it. Its connection may
-   * fall silent, with what is on its way; the session goes on on the next one.
+   * A session between an owner and a host. Messages that a cut link delays arrive afterwards. The
+   * connection may fall silent and lose the messages in flight; the session then continues on the
+   * next connection.
    */
   final class Session {
     final long id = ++lastSession;
     final SessionStream ownerStream = SessionStream.create();
     final SessionStream hostStream = SessionStream.create();
     final OpenRuns openRuns = OpenRuns.create();
-    long runsSinceMs;
+    long firstOrderAtMs;
     boolean silent;
     long suspendedAtMs;
     int connection;
@@ -301,7 +305,7 @@
     final WorkerHost host;
     boolean openAtOwner = true;
     boolean openAtHost = true;
-    long heardByOwnerMs = nowMs;
+    long lastHeardByOwnerMs = nowMs;
     long lastToHostMs;
     long lastToOwnerMs;
 
@@ -321,80 +325,84 @@
 
     void toHost(Message message) {
       if (message instanceof StartRuns && openRuns.isEmpty()) {
-        runsSinceMs = nowMs;
-        carryToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
+        firstOrderAtMs = nowMs;
+        transmitToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
       }
-      openRuns.record(message);
+      openRuns.apply(message);
       ownerStream.recordSent(message);
-      carryToHost(message);
+      transmitToHost(message);
     }
 
-    private void carryToHost(Message message) {
+    private void transmitToHost(Message message) {
       if (silent) {
         return;
       }
-      int carrier = connection;
+      int sentOnConnection = connection;
       long atMs = Math.max(Math.max(nowMs, cutEndsMs()) + delayMs(), lastToHostMs);
       lastToHostMs = atMs;
-      deliver(
-          atMs, () -> box.stands() ? box.standsUntilMs : 0, () -> arriveAtHost(message, carrier));
+      scheduleDelivery(
+          atMs,
+          () -> box.isPaused() ? box.pausedUntilMs : 0,
+          () -> receiveAtHost(message, sentOnConnection));
     }
 
     void toOwner(Message message) {
       hostStream.recordSent(message);
-      carryToOwner(message);
+      transmitToOwner(message);
     }
 
-    private void carryToOwner(Message message) {
+    private void transmitToOwner(Message message) {
       if (silent) {
         return;
       }
-      int carrier = connection;
+      int sentOnConnection = connection;
       long atMs = Math.max(Math.max(nowMs, cutEndsMs()) + delayMs(), lastToOwnerMs);
       lastToOwnerMs = atMs;
-      deliver(
+      scheduleDelivery(
           atMs,
-          () -> owner.stands() ? owner.standsUntilMs : 0,
-          () -> arriveAtOwner(message, carrier));
+          () -> owner.isPaused() ? owner.pausedUntilMs : 0,
+          () -> receiveAtOwner(message, sentOnConnection));
     }
 
-    private void deliver(long atMs, java.util.function.LongSupplier heldUntil, Runnable action) {
+    private void scheduleDelivery(
+        long atMs, java.util.function.LongSupplier receiverPausedUntil, Runnable action) {
       at(
           atMs,
           () -> {
-            long until = heldUntil.getAsLong();
+            long until = receiverPausedUntil.getAsLong();
             if (until > nowMs) {
-              deliver(until + 1, heldUntil, action);
+              scheduleDelivery(until + 1, receiverPausedUntil, action);
             } else {
               action.run();
             }
           });
     }
 
-    private void arriveAtHost(Message message, int carrier) {
-      if (!openAtHost || box.host != host || carrier != connection) {
+    private void receiveAtHost(Message message, int sentOnConnection) {
+      if (!openAtHost || box.host != host || sentOnConnection != connection) {
         return;
       }
-      hostStream.recordReceived(message).ifPresent(this::carryToOwner);
+      hostStream.recordReceived(message).ifPresent(this::transmitToOwner);
       switch (message) {
         case SessionAck ack -> hostStream.recordAcknowledged(ack.receivedCount());
-        case OwnerBeat beat -> host.ownerBeat(id, beat.sentAtMs(), beat.follows(), nowMs);
-        case OwnerWaiting news -> host.ownerWaiting(id, news, nowMs);
+        case OwnerBeat heartbeat ->
+            host.ownerBeat(id, heartbeat.sentAtMs(), heartbeat.follows(), nowMs);
+        case OwnerWaiting update -> host.ownerWaiting(id, update, nowMs);
         case StartRuns order -> host.startRuns(id, order, nowMs);
         case StopRun order -> host.stopRun(id, order.run(), nowMs);
         case SessionProof proof -> host.sessionProven(id, proof.number(), proof.sentAtMs(), nowMs);
-        default -> throw new IllegalStateException("not for a host: " + message);
+        default -> throw new IllegalStateException("not a message to a host: " + message);
       }
-      box.settle();
+      box.carryOutEffects();
     }
 
-    private void arriveAtOwner(Message message, int carrier) {
-      if (!openAtOwner || carrier != connection) {
+    private void receiveAtOwner(Message message, int sentOnConnection) {
+      if (!openAtOwner || sentOnConnection != connection) {
         return;
       }
-      heardByOwnerMs = nowMs;
-      openRuns.record(message);
-      ownerStream.recordReceived(message).ifPresent(this::carryToHost);
+      lastHeardByOwnerMs = nowMs;
+      openRuns.apply(message);
+      ownerStream.recordReceived(message).ifPresent(this::transmitToHost);
       switch (message) {
         case SessionAck ack -> ownerStream.recordAcknowledged(ack.receivedCount());
         case SessionOpened opened ->
@@ -403,38 +411,41 @@
         case SessionProbe probe -> toHost(new SessionProof(probe.number(), nowMs));
         case HostRows rows -> owner.jobs.hostRowsReceived(box.id, rows, nowMs);
         case RunEnded ended -> owner.jobs.runEnded(box.id, ended, nowMs);
-        case WorkerCrashed news -> owner.jobs.workerCrashed(news, nowMs);
+        case WorkerCrashed report -> owner.jobs.workerCrashed(report, nowMs);
         case RunNotStarted report -> owner.jobs.runNotStarted(box.id, report, nowMs);
-        default -> throw new IllegalStateException("not for an owner: " + message);
+        default -> throw new IllegalStateException("not a message to an owner: " + message);
       }
-      owner.settle();
+      owner.carryOutEffects();
     }
 
-    /** The connection carries nothing any more, and each end finds out by itself. */
+    /** The connection loses all further messages, and each end detects this by itself. */
     void fallSilent() {
       if (silent) {
         return;
       }
       silent = true;
       connection++;
-      after(100 + silences.nextInt(400), this::suspendAtOwner);
-      after(300 + silences.nextInt(600), this::resume);
+      after(100 + silenceRandom.nextInt(400), this::suspendAtOwner);
+      after(300 + silenceRandom.nextInt(600), this::resume);
     }
 
     private void suspendAtOwner() {
       if (silent && openAtOwner && suspendedAtMs == 0) {
         suspendedAtMs = nowMs;
         owner.jobs.sessionSuspended(box.id);
-        owner.settle();
+        owner.carryOutEffects();
       }
     }
 
-    /** The host opens another connection; each end says how much it has, and gets the rest. */
+    /**
+     * The host opens another connection; each end states how many messages it has received, and the
+     * other sends the rest.
+     */
     private void resume() {
       if (!openAtHost || box.host != host || !openAtOwner) {
         return;
       }
-      if (box.stands() || owner.stands() || cutEndsMs() > nowMs) {
+      if (box.isPaused() || owner.isPaused() || cutEndsMs() > nowMs) {
         after(50, this::resume);
         return;
       }
@@ -442,48 +453,50 @@
       connection++;
       silent = false;
       suspendedAtMs = 0;
-      heardByOwnerMs = nowMs;
+      lastHeardByOwnerMs = nowMs;
       ownerStream.recordAcknowledged(hostStream.receivedCount());
       hostStream.recordAcknowledged(ownerStream.receivedCount());
-      carryToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
-      ownerStream.unacknowledged().forEach(this::carryToHost);
-      hostStream.unacknowledged().forEach(this::carryToOwner);
+      transmitToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
+      ownerStream.unacknowledged().forEach(this::transmitToHost);
+      hostStream.unacknowledged().forEach(this::transmitToOwner);
       owner.jobs.sessionResumed(box.id);
-      owner.settle();
+      owner.carryOutEffects();
       host.sessionResumed(id, nowMs);
-      box.settle();
+      box.carryOutEffects();
     }
 
     void closedByHost() {
       openAtHost = false;
       if (!silent) {
-        at(Math.max(nowMs, cutEndsMs()) + 2, () -> loseAtOwner(false));
+        at(Math.max(nowMs, cutEndsMs()) + 2, () -> endAtOwner(false));
       }
     }
 
-    void loseAtOwner(boolean unheard) {
-      loseAtOwner(unheard, nowMs);
+    void endAtOwner(boolean isSilent) {
+      endAtOwner(isSilent, nowMs);
     }
 
-    private void loseAtOwner(boolean unheard, long leaseSinceMs) {
+    private void endAtOwner(boolean isSilent, long leaseSinceMs) {
       if (openAtOwner) {
         openAtOwner = false;
         owner.sessions.remove(box.id);
-        owner.jobs.sessionLost(box.id, unheard, leaseSinceMs);
+        owner.jobs.sessionLost(box.id, isSilent, leaseSinceMs);
         if (!silent) {
           at(Math.max(nowMs, cutEndsMs()) + 2, this::endAtHost);
         }
       }
     }
 
-    /** Beats, or gives the session up once the host's lease of this owner may be over. */
-    void beatOrGiveUp() {
+    /**
+     * Sends a heartbeat, or ends the session once the owner's lease at the host may have expired.
+     */
+    void sendHeartbeatOrEnd() {
       if (suspendedAtMs > 0) {
         if (nowMs - suspendedAtMs >= TIMING.ownerLeaseMs()) {
-          loseAtOwner(true, suspendedAtMs);
+          endAtOwner(true, suspendedAtMs);
         }
-      } else if (nowMs - silentSinceMs() >= sessionMs()) {
-        loseAtOwner(true);
+      } else if (nowMs - silentSinceMs() >= sessionTimeoutMs()) {
+        endAtOwner(true);
       } else if (nowMs
               % (openRuns.isEmpty() ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS : HEARTBEAT_PERIOD_MS)
           < 25) {
@@ -492,19 +505,19 @@
     }
 
     private long silentSinceMs() {
-      return openRuns.isEmpty() ? heardByOwnerMs : Math.max(heardByOwnerMs, runsSinceMs);
+      return openRuns.isEmpty() ? lastHeardByOwnerMs : Math.max(lastHeardByOwnerMs, firstOrderAtMs);
     }
 
-    private long sessionMs() {
+    private long sessionTimeoutMs() {
       return openRuns.isEmpty() ? RunTiming.IDLE_SESSION_TIMEOUT_MS : TIMING.ownerLeaseMs();
     }
 
     private void endAtHost() {
-      if (openAtHost && box.host == host && !box.stands()) {
+      if (openAtHost && box.host == host && !box.isPaused()) {
         openAtHost = false;
         box.sessions.remove(id);
         host.sessionEnded(id, "closed", nowMs);
-        box.settle();
+        box.carryOutEffects();
       }
     }
 
@@ -513,13 +526,13 @@
     }
   }
 
-  private final class CallersJob {
+  private final class SubmittedJob {
     final JobPlan plan;
     int ownerIndex;
     String state = "open";
     int attempt;
 
-    CallersJob(JobPlan plan, int ownerIndex) {
+    SubmittedJob(JobPlan plan, int ownerIndex) {
       this.plan = plan;
       this.ownerIndex = ownerIndex;
     }
@@ -527,44 +540,45 @@
 
   private final Random random;
 
-  /** A source of its own, so that seeds play the same orders with and without silences. */
-  private final Random silences;
+  /** Separate, so that a seed gives the same events with and without silent connections. */
+  private final Random silenceRandom;
 
-  /** Sources of their own as well. */
-  private final Random slowness;
+  /** Separate for the same reason, as is the next. */
+  private final Random slowCallRandom;
 
-  private final Random refusals;
+  private final Random refusalRandom;
 
-  private final Set<Trouble> troubles;
-  private final PriorityQueue<Timed> timeline =
+  private final Set<Fault> faults;
+  private final PriorityQueue<ScheduledEvent> timeline =
       new PriorityQueue<>(
-          java.util.Comparator.comparingLong(Timed::atMs).thenComparingLong(Timed::sequence));
+          java.util.Comparator.comparingLong(ScheduledEvent::atMs)
+              .thenComparingLong(ScheduledEvent::sequence));
   private final List<OwnerBox> owners = new ArrayList<>();
   private final List<HostBox> boxes = new ArrayList<>();
   private final Map<String, Long> cuts = new HashMap<>();
-  private final Map<String, CallersJob> jobs = new HashMap<>();
+  private final Map<String, SubmittedJob> jobs = new HashMap<>();
   final List<String> trace = new ArrayList<>();
   private final Set<String> ends = new TreeSet<>();
   private long sequence;
   private long lastSession;
-  private int lateShare;
-  private boolean dark;
-  private boolean stopsArriving;
+  private int lateCallPermille;
+  private boolean unreachable;
+  private boolean isFaultFree;
   private int jobCount;
   long nowMs = 1;
 
-  /** Creates a play whose connections break, but never fall silent while new ones work. */
+  /** Creates a simulation without additional faults: connections break, but never fall silent. */
   RunSimulation(long seed) {
     this(seed, Set.of());
   }
 
-  RunSimulation(long seed, Set<Trouble> troubles) {
+  RunSimulation(long seed, Set<Fault> faults) {
     this.random = new Random(seed);
-    this.silences = new Random(~seed);
-    this.slowness = new Random(31 * seed + 7);
-    this.refusals = new Random(31 * seed + 11);
-    this.troubles = Set.copyOf(troubles);
-    this.lateShare = random.nextInt(60);
+    this.silenceRandom = new Random(~seed);
+    this.slowCallRandom = new Random(31 * seed + 7);
+    this.refusalRandom = new Random(31 * seed + 11);
+    this.faults = Set.copyOf(faults);
+    this.lateCallPermille = random.nextInt(60);
     for (int i = 0; i < 3; i++) {
       owners.add(new OwnerBox("o" + i));
       boxes.add(new HostBox("h" + i));
@@ -572,7 +586,7 @@
   }
 
   private void at(long atMs, Runnable action) {
-    timeline.add(new Timed(Math.max(atMs, nowMs), ++sequence, action));
+    timeline.add(new ScheduledEvent(Math.max(atMs, nowMs), ++sequence, action));
   }
 
   private void after(long delayMs, Runnable action) {
@@ -583,59 +597,59 @@
     return 20 + random.nextInt(600);
   }
 
-  /** Plays for a time with faults, then for a while without. */
-  void play(long withFaultsMs, long calmMs) {
-    long endMs = nowMs + withFaultsMs + calmMs;
-    long calmFromMs = nowMs + withFaultsMs;
+  /** Runs the simulation for a time with faults and then for a time without. */
+  void run(long withFaultsMs, long faultFreeMs) {
+    long endMs = nowMs + withFaultsMs + faultFreeMs;
+    long faultFreeFromMs = nowMs + withFaultsMs;
     while (nowMs < endMs) {
       nowMs += STEP_MS;
       while (!timeline.isEmpty() && timeline.peek().atMs() <= nowMs) {
         timeline.remove().action().run();
       }
       boxes.forEach(box -> box.worker.tick(nowMs));
-      stopsArriving = nowMs >= calmFromMs;
-      if (!stopsArriving) {
-        maybeFault();
-        maybeSilence();
+      isFaultFree = nowMs >= faultFreeFromMs;
+      if (!isFaultFree) {
+        maybeInjectFault();
+        maybeSilenceConnections();
         maybeSlowCalls();
-        maybeRefusedConnections();
-        maybeJob();
+        maybeRefuseConnections();
+        maybeSubmitJob();
       } else {
-        lateShare = 0;
+        lateCallPermille = 0;
         boxes.forEach(box -> box.worker.failsAll = false);
       }
       tickAll();
-      check();
+      checkInvariants();
     }
   }
 
-  private void maybeJob() {
+  private void maybeSubmitJob() {
     if (random.nextInt(100) < 6) {
       String id = "%016x".formatted(++jobCount);
       StepPlan step = StepPlan.of(1 + random.nextInt(4), NEED, 300);
       JobPlan plan =
           new JobPlan(id, "q", "s", "spec", random.nextInt(3), 3, 1_000, 20_000, List.of(step));
-      CallersJob job = new CallersJob(plan, random.nextInt(owners.size()));
+      SubmittedJob job = new SubmittedJob(plan, random.nextInt(owners.size()));
       jobs.put(id, job);
       submit(job);
     }
   }
 
-  private void submit(CallersJob job) {
+  private void submit(SubmittedJob job) {
     OwnerBox owner = owners.get(job.ownerIndex);
-    if (owner.stands()) {
+    if (owner.isPaused()) {
       resubmitLater(job);
       return;
     }
     trace.add(nowMs + " submit " + job.plan.jobId() + " to " + owner.id);
     owner.jobs.submit(job.plan, nowMs);
-    owner.settle();
+    owner.carryOutEffects();
   }
 
-  private void resubmitLater(CallersJob job) {
+  private void resubmitLater(SubmittedJob job) {
     int attempt = ++job.attempt;
     after(
-        RESUBMIT_MS,
+        RESUBMIT_AFTER_MS,
         () -> {
           if (job.state.equals("open") && job.attempt == attempt) {
             job.ownerIndex = (job.ownerIndex + 1) % owners.size();
@@ -645,7 +659,7 @@
   }
 
   private void answered(OwnerBox owner, String jobId, JobEnd end) {
-    CallersJob job = jobs.get(jobId);
+    SubmittedJob job = jobs.get(jobId);
     if (owners.get(job.ownerIndex) != owner) {
       return;
     }
@@ -657,12 +671,12 @@
     }
   }
 
-  private void maybeSilence() {
-    if (troubles.contains(Trouble.SILENT_CONNECTIONS) && silences.nextInt(1_000) < 8) {
-      OwnerBox owner = owners.get(silences.nextInt(owners.size()));
-      boolean all = silences.nextInt(4) == 0;
+  private void maybeSilenceConnections() {
+    if (faults.contains(Fault.SILENT_CONNECTIONS) && silenceRandom.nextInt(1_000) < 8) {
+      OwnerBox owner = owners.get(silenceRandom.nextInt(owners.size()));
+      boolean all = silenceRandom.nextInt(4) == 0;
       for (Session session : List.copyOf(owner.sessions.values())) {
-        if (all || silences.nextInt(3) == 0) {
+        if (all || silenceRandom.nextInt(3) == 0) {
           session.fallSilent();
         }
       }
@@ -670,38 +684,38 @@
   }
 
   private void maybeSlowCalls() {
-    if (troubles.contains(Trouble.SLOW_CALLS) && slowness.nextInt(1_000) < 12) {
-      HostBox box = boxes.get(slowness.nextInt(boxes.size()));
-      long untilMs = nowMs + 100 + slowness.nextInt(2_000);
-      if (slowness.nextBoolean()) {
-        box.slowUntilMs = untilMs;
+    if (faults.contains(Fault.SLOW_CALLS) && slowCallRandom.nextInt(1_000) < 12) {
+      HostBox box = boxes.get(slowCallRandom.nextInt(boxes.size()));
+      long untilMs = nowMs + 100 + slowCallRandom.nextInt(2_000);
+      if (slowCallRandom.nextBoolean()) {
+        box.slowCallsUntilMs = untilMs;
       } else {
-        box.shedsUntilMs = untilMs;
+        box.refusesStartsUntilMs = untilMs;
       }
     }
   }
 
-  private void maybeRefusedConnections() {
-    if (troubles.contains(Trouble.REFUSED_CONNECTIONS) && refusals.nextInt(1_000) < 4) {
-      HostBox box = boxes.get(refusals.nextInt(boxes.size()));
-      box.refusesUntilMs = nowMs + 1 + refusals.nextInt(1_500);
+  private void maybeRefuseConnections() {
+    if (faults.contains(Fault.REFUSED_CONNECTIONS) && refusalRandom.nextInt(1_000) < 4) {
+      HostBox box = boxes.get(refusalRandom.nextInt(boxes.size()));
+      box.refusesConnectionsUntilMs = nowMs + 1 + refusalRandom.nextInt(1_500);
     }
   }
 
-  private void maybeFault() {
+  private void maybeInjectFault() {
     if (random.nextInt(1_000) >= 12) {
       return;
     }
     OwnerBox owner = owners.get(random.nextInt(owners.size()));
     HostBox box = boxes.get(random.nextInt(boxes.size()));
     switch (random.nextInt(8)) {
-      case 0 -> cut(owner, box);
-      case 1 -> standStill(owner);
-      case 2 -> standStill(box);
+      case 0 -> cutLink(owner, box);
+      case 1 -> pause(owner);
+      case 2 -> pause(box);
       case 3 -> box.restart();
       case 4 -> killOwner(owner);
       case 5 -> crashWorker(box);
-      case 6 -> leave(owner);
+      case 6 -> disconnectCaller(owner);
       default -> box.worker.failsAll = !box.worker.failsAll;
     }
   }
@@ -710,22 +724,24 @@
     return JobOwner.create(TIMING, id, "z", FOLLOWED_HOSTS);
   }
 
-  // What a fault holds up is delivered when it was to end. So a fault on top of another may only
-  // lengthen it: were it cut short, later messages would overtake earlier ones on one connection.
+  // Messages that a fault delays are scheduled for the end of the fault. A further fault may
+  // therefore only extend it. If it ended earlier, later messages would overtake earlier ones on
+  // the
+  // same connection.
 
-  private void cut(OwnerBox owner, HostBox box) {
+  private void cutLink(OwnerBox owner, HostBox box) {
     cuts.merge(owner.id + box.id, nowMs + 100 + random.nextInt(4_000), Math::max);
   }
 
-  private void standStill(OwnerBox owner) {
-    owner.standsUntilMs = Math.max(owner.standsUntilMs, nowMs + 100 + random.nextInt(4_000));
+  private void pause(OwnerBox owner) {
+    owner.pausedUntilMs = Math.max(owner.pausedUntilMs, nowMs + 100 + random.nextInt(4_000));
   }
 
-  private void standStill(HostBox box) {
-    box.standsUntilMs = Math.max(box.standsUntilMs, nowMs + 100 + random.nextInt(3_000));
+  private void pause(HostBox box) {
+    box.pausedUntilMs = Math.max(box.pausedUntilMs, nowMs + 100 + random.nextInt(3_000));
   }
 
-  /** The callers of a killed owner see their connections break at once. */
+  /** The callers of a killed owner notice immediately, as their connections are closed. */
   private void killOwner(OwnerBox owner) {
     owner.jobs = newOwner(owner.id);
     List.copyOf(owner.sessions.values())
@@ -735,7 +751,7 @@
               at(Math.max(nowMs, session.cutEndsMs()) + 2, session::endAtHost);
             });
     owner.sessions.clear();
-    for (CallersJob job : jobs.values()) {
+    for (SubmittedJob job : jobs.values()) {
       if (job.state.equals("open") && owners.get(job.ownerIndex) == owner) {
         trace.add(nowMs + " killed " + owner.id + " with " + job.plan.jobId());
         resubmitLater(job);
@@ -744,7 +760,7 @@
   }
 
   private void crashWorker(HostBox box) {
-    dark = random.nextBoolean();
+    unreachable = random.nextBoolean();
     box.worker.crash();
     after(
         500 + random.nextInt(3_000),
@@ -753,12 +769,12 @@
         });
   }
 
-  /** A caller goes, and brings its job to another owner. */
-  private void leave(OwnerBox owner) {
-    for (CallersJob job : jobs.values()) {
-      if (job.state.equals("open") && owners.get(job.ownerIndex) == owner && !owner.stands()) {
+  /** Disconnects a caller, which then submits its job to another owner. */
+  private void disconnectCaller(OwnerBox owner) {
+    for (SubmittedJob job : jobs.values()) {
+      if (job.state.equals("open") && owners.get(job.ownerIndex) == owner && !owner.isPaused()) {
         owner.jobs.drop(job.plan.jobId(), "left");
-        owner.settle();
+        owner.carryOutEffects();
         return;
       }
     }
@@ -766,29 +782,29 @@
 
   private void tickAll() {
     for (OwnerBox owner : owners) {
-      if (!owner.stands() && nowMs - owner.lastTickMs >= 25) {
+      if (!owner.isPaused() && nowMs - owner.lastTickMs >= 25) {
         tick(owner);
       }
     }
     for (HostBox box : boxes) {
-      if (!box.stands() && nowMs % 25 == 1) {
+      if (!box.isPaused() && nowMs % 25 == 1) {
         tick(box);
       }
     }
   }
 
   private void tick(OwnerBox owner) {
-    boolean stood = nowMs - owner.lastTickMs >= TIMING.ownerLeaseMs();
+    boolean wasPaused = nowMs - owner.lastTickMs >= TIMING.ownerLeaseMs();
     owner.lastTickMs = nowMs;
-    if (stood) {
-      owner.jobs.dropAll("stood still");
-      List.copyOf(owner.sessions.values()).forEach(session -> session.loseAtOwner(true));
+    if (wasPaused) {
+      owner.jobs.dropAll("owner was paused");
+      List.copyOf(owner.sessions.values()).forEach(session -> session.endAtOwner(true));
     }
     for (Session session : List.copyOf(owner.sessions.values())) {
-      session.beatOrGiveUp();
+      session.sendHeartbeatOrEnd();
     }
     owner.jobs.onTick(nowMs);
-    owner.settle();
+    owner.carryOutEffects();
   }
 
   private void tick(HostBox box) {
@@ -796,35 +812,35 @@
       box.host.workerSeen(box.worker.info(false, ++box.version, nowMs), nowMs);
     }
     for (OwnerBox owner : owners) {
-      boolean cut = cuts.getOrDefault(owner.id + box.id, 0L) > nowMs;
+      boolean isCut = cuts.getOrDefault(owner.id + box.id, 0L) > nowMs;
       boolean linked =
           box.sessions.values().stream().anyMatch(s -> s.owner == owner && s.openAtOwner);
-      if (!cut && !linked && !owner.stands()) {
+      if (!isCut && !linked && !owner.isPaused()) {
         connect(owner, box);
       }
     }
     box.host.onTick(nowMs);
-    box.settle();
+    box.carryOutEffects();
   }
 
   private void connect(OwnerBox owner, HostBox box) {
     Session session = new Session(owner, box);
     Session former = owner.sessions.get(box.id);
     if (former != null) {
-      former.loseAtOwner(false);
+      former.endAtOwner(false);
     }
     owner.sessions.put(box.id, session);
     box.sessions.put(session.id, session);
     box.host.sessionBegan(session.id, owner.id, nowMs);
-    // An owner beats at once when a session begins.
+    // An owner sends a heartbeat immediately when a session opens.
     session.toHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
   }
 
-  private void check() {
+  private void checkInvariants() {
     Map<String, String> running = new HashMap<>();
     for (HostBox box : boxes) {
       if (!Rooms.fits(box.worker.used(), FakeWorker.CAPACITY)) {
-        throw new AssertionError(nowMs + " " + box.id + " is over its room: " + box.worker.used());
+        throw new AssertionError(nowMs + " " + box.id + " exceeds its room: " + box.worker.used());
       }
       for (RunRef run : box.worker.runs.keySet()) {
         String other = running.put(run.task(), box.id + " run " + run.number());
@@ -840,18 +856,18 @@
                   + " run "
                   + run.number()
                   + "\n"
-                  + traceOf(run.task()));
+                  + traceOfJob(run.task()));
         }
       }
     }
   }
 
-  private String traceOf(String task) {
+  private String traceOfJob(String task) {
     return String.join(
         "\n", trace.stream().filter(line -> line.contains(TaskNames.jobIdOf(task))).toList());
   }
 
-  /** Returns the jobs that have no answer. */
+  /** Returns the ids of the unanswered jobs. */
   List<String> openJobs() {
     return jobs.values().stream()
         .filter(job -> job.state.equals("open"))
@@ -859,9 +875,9 @@
         .toList();
   }
 
-  /** Returns what happened to the first job without an answer. */
-  String traceOfOpen() {
-    return openJobs().stream().findFirst().map(this::traceOf).orElse("");
+  /** Returns the trace of the first unanswered job. */
+  String traceOfFirstOpenJob() {
+    return openJobs().stream().findFirst().map(this::traceOfJob).orElse("");
   }
 
   Set<String> ends() {
--- a/core/src/test/java/io/hingehoist/run/SessionStreamTest.java
+++ b/core/src/test/java/io/hingehoist/run/SessionStreamTest.java
@@ -15,13 +15,13 @@
 public final class SessionStreamTest {
   private static final Message FIRST = new StopRun(new RunRef("a", 1));
   private static final Message SECOND = new StopRun(new RunRef("b", 1));
-  private static final Message BEAT = new OwnerBeat(1, true);
+  private static final Message HEARTBEAT = new OwnerBeat(1, true);
 
   @Test
-  public void whatTheOtherEndLacksIsKeptInOrder() {
+  public void keepsUnacknowledgedMessagesInOrder() {
     SessionStream sender = SessionStream.create();
     sender.recordSent(FIRST);
-    sender.recordSent(BEAT);
+    sender.recordSent(HEARTBEAT);
     sender.recordSent(SECOND);
     assertEquals(sender.unacknowledged(), List.of(FIRST, SECOND));
     sender.recordAcknowledged(1);
@@ -31,15 +31,15 @@
   }
 
   @Test
-  public void onlyWhatIsSaidOnceCounts() {
+  public void countsOnlyMessagesThatAreSentOnce() {
     SessionStream receiver = SessionStream.create();
     receiver.recordReceived(FIRST);
-    receiver.recordReceived(BEAT);
+    receiver.recordReceived(HEARTBEAT);
     assertEquals(receiver.receivedCount(), 1);
   }
 
   @Test
-  public void anAcknowledgementIsDueFromTimeToTime() {
+  public void anAcknowledgementIsDueAfter32Messages() {
     SessionStream receiver = SessionStream.create();
     for (int i = 1; i < 32; i++) {
       assertEquals(receiver.recordReceived(FIRST), Optional.empty());
@@ -49,7 +49,7 @@
   }
 
   @Test
-  public void moreThanWasSentCannotHaveCome() {
+  public void rejectsAcknowledgementsOfMoreThanWasSent() {
     SessionStream sender = SessionStream.create();
     sender.recordSent(FIRST);
     assertFalse(sender.recordAcknowledged(2));
--- a/core/src/test/java/io/hingehoist/run/load/UrgentReservationTest.java
+++ b/core/src/test/java/io/hingehoist/run/load/UrgentReservationTest.java
@@ -14,49 +14,49 @@
   private UrgentReservation reservation;
 
   @BeforeMethod
-  public void urgentWorkCame() {
+  public void recordArrivals() {
     reservation = UrgentReservation.ofPercent(10);
-    reservation.noteArrival(URGENT, 86, 1_000);
-    reservation.noteArrival(MIDDLE, 286, 1_000);
-    reservation.noteArrival(LAST, 1_286, 1_000);
+    reservation.recordArrival(URGENT, 86, 1_000);
+    reservation.recordArrival(MIDDLE, 286, 1_000);
+    reservation.recordArrival(LAST, 1_286, 1_000);
   }
 
   @Test
-  public void longWorkLeavesTheLastRoomToUrgentWork() {
-    assertTrue(reservation.holdsBack(LAST, false, 0.09, 1_100));
+  public void longWorkMayNotUseTheReservedRoom() {
+    assertTrue(reservation.mustWait(LAST, false, 0.09, 1_100));
   }
 
   @Test
-  public void whileRoomIsLeftNothingWaits() {
-    assertFalse(reservation.holdsBack(LAST, false, 0.11, 1_100));
+  public void nothingWaitsWhileEnoughRoomIsFree() {
+    assertFalse(reservation.mustWait(LAST, false, 0.11, 1_100));
   }
 
   @Test
-  public void whatIsBegunGoesOn() {
-    assertFalse(reservation.holdsBack(LAST, true, 0.0, 1_100));
+  public void startedJobsAreNotDelayed() {
+    assertFalse(reservation.mustWait(LAST, true, 0.0, 1_100));
   }
 
   @Test
-  public void whatIsNotTheLeastUrgentIsNotHeldBack() {
-    assertFalse(reservation.holdsBack(MIDDLE, false, 0.0, 1_100));
+  public void onlyTheLeastUrgentWorkWaits() {
+    assertFalse(reservation.mustWait(MIDDLE, false, 0.0, 1_100));
   }
 
   @Test
-  public void theMostUrgentWorkIsNeverHeldBack() {
-    assertFalse(reservation.holdsBack(URGENT, false, 0.0, 1_100));
+  public void theMostUrgentWorkNeverWaits() {
+    assertFalse(reservation.mustWait(URGENT, false, 0.0, 1_100));
   }
 
   @Test
-  public void roomIsLentWhileNoUrgentWorkComes() {
-    assertFalse(reservation.holdsBack(LAST, false, 0.0, 6_000));
+  public void noRoomIsReservedWithoutUrgentArrivals() {
+    assertFalse(reservation.mustWait(LAST, false, 0.0, 6_000));
   }
 
   @Test
-  public void withoutTheSettingNothingIsKept() {
+  public void withoutTheSettingNothingIsReserved() {
     UrgentReservation none = UrgentReservation.ofPercent(0);
-    none.noteArrival(URGENT, 86, 1_000);
-    none.noteArrival(LAST, 1_286, 1_000);
-    assertTrue(none.isNone());
-    assertFalse(none.holdsBack(LAST, false, 0.0, 1_100));
+    none.recordArrival(URGENT, 86, 1_000);
+    none.recordArrival(LAST, 1_286, 1_000);
+    assertTrue(none.isDisabled());
+    assertFalse(none.mustWait(LAST, false, 0.0, 1_100));
   }
 }
--- a/core/src/test/java/io/hingehoist/run/owner/FollowedHostsTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/FollowedHostsTest.java
@@ -11,7 +11,7 @@
 public final class FollowedHostsTest {
 
   @Test
-  public void whereThereAreFewHostsAllAreFollowed() {
+  public void followsAllHostsIfThereAreFew() {
     FollowedHosts hosts = new FollowedHosts("o", "east", 3);
     hosts.add("h1", "east");
     hosts.add("h2", "west");
@@ -21,7 +21,7 @@
   }
 
   @Test
-  public void hostsOfTheSameZoneComeFirst() {
+  public void prefersHostsOfTheSameZone() {
     FollowedHosts hosts = new FollowedHosts("o", "east", 2);
     hosts.add("w1", "west");
     hosts.add("w2", "west");
@@ -33,7 +33,7 @@
   }
 
   @Test
-  public void anotherTakesThePlaceOfALostHost() {
+  public void replacesALostHost() {
     FollowedHosts hosts = new FollowedHosts("o", "east", 1);
     hosts.add("e1", "east");
     hosts.add("w1", "west");
@@ -43,13 +43,13 @@
   }
 
   @Test
-  public void ownersSpreadOverAllHosts() {
+  public void spreadsOwnersOverAllHosts() {
     int ownerCount = 12;
     int hostCount = 60;
-    int most = 20;
+    int maxHosts = 20;
     Map<String, Integer> followers = new HashMap<>();
     for (int owner = 0; owner < ownerCount; owner++) {
-      FollowedHosts hosts = new FollowedHosts("owner-" + owner, "nowhere", most);
+      FollowedHosts hosts = new FollowedHosts("owner-" + owner, "nowhere", maxHosts);
       for (int host = 0; host < hostCount; host++) {
         hosts.add("host-" + host, "z");
       }
@@ -59,7 +59,8 @@
     }
     long unfollowed = followers.values().stream().filter(count -> count == 0).count();
     int largest = followers.values().stream().max(Integer::compare).orElseThrow();
-    // Each is followed by four on average; were it by chance, one in 130 by none.
+    // Each host is followed by four owners on average. With random selection, one host in 130 would
+    // be followed by none.
     assertTrue(unfollowed <= 2, unfollowed + " hosts are followed by none");
     assertTrue(largest <= 9, "one host is followed by " + largest);
   }
--- a/core/src/test/java/io/hingehoist/run/owner/JobOwnerTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/JobOwnerTest.java
@@ -49,18 +49,18 @@
     JobOwner owner = JobOwner.create(TIMING);
     for (String host : hosts) {
       owner.sessionOpened(host, "z", 1, true);
-      show(owner, host, SMALL, 0);
+      sendRows(owner, host, SMALL, 0);
     }
-    settle(owner, 0);
+    collectEffects(owner, 0);
     return owner;
   }
 
-  private void show(JobOwner owner, String host, Room free, long lastOrder) {
+  private void sendRows(JobOwner owner, String host, Room free, long lastOrder) {
     owner.hostRowsReceived(
         host, new HostRows(lastOrder, List.of(row(host + "-w", free, WorkerState.READY))), 0);
   }
 
-  private void settle(JobOwner owner, long nowMs) {
+  private void collectEffects(JobOwner owner, long nowMs) {
     owner.place(nowMs);
     effects.clear();
     effects.addAll(owner.drainEffects());
@@ -96,70 +96,70 @@
   public void completesAJobOnceEveryTaskHasEnded() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(2)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     assertEquals(started().size(), 2);
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.0", 1), RunEnd.DONE, 100), 100);
-    settle(owner, 100);
+    collectEffects(owner, 100);
     assertEquals(answers(), List.of());
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.1", 1), RunEnd.DONE, 100), 100);
-    settle(owner, 100);
+    collectEffects(owner, 100);
     assertEquals(answers(), List.of(new JobEnd.Completed()));
   }
 
   @Test
-  public void aSecondSubmissionJoinsTheFirst() {
+  public void aRepeatedSubmissionStartsNothing() {
     JobOwner owner = ownerWith("h1");
     assertTrue(owner.submit(plan("j", 0, 2, step(1)), 0));
     assertFalse(owner.submit(plan("j", 0, 2, step(1)), 5));
-    settle(owner, 5);
+    collectEffects(owner, 5);
     assertEquals(started().size(), 1);
   }
 
   @Test
-  public void startsAStepOnlyAfterThoseBeforeIt() {
+  public void startsAStepOnlyAfterItsDependencies() {
     JobOwner owner = ownerWith("h1");
     StepPlan second = new StepPlan(1, NEED, 100, List.of(0), "", "", 0);
     owner.submit(plan("j", 0, 2, step(1), second), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     assertEquals(started(), List.of(new RunRef("j.0.0", 1)));
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.0", 1), RunEnd.DONE, 100), 100);
-    show(owner, "h1", SMALL, 1);
-    settle(owner, 100);
+    sendRows(owner, "h1", SMALL, 1);
+    collectEffects(owner, 100);
     assertEquals(started(), List.of(new RunRef("j.1.0", 1)));
   }
 
   @Test
-  public void ordersNoMoreThanTheRoomThatItSees() {
+  public void ordersNoMoreThanTheReportedRoom() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(5)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     assertEquals(started().size(), 2);
-    // A row from before the order shows the room as free; the order counts against it.
-    show(owner, "h1", SMALL, 0);
-    settle(owner, 1);
+    // A row from before the order reports the room as free, from which the order is subtracted.
+    sendRows(owner, "h1", SMALL, 0);
+    collectEffects(owner, 1);
     assertEquals(started().size(), 0);
   }
 
   @Test
-  public void whatIsMoreUrgentGoesFirst() {
+  public void moreUrgentJobsAreStartedFirst() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("late", 2, 2, step(2)), 0);
     owner.submit(plan("soon", 0, 2, step(2)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     assertEquals(started(), List.of(new RunRef("soon.0.0", 1), new RunRef("soon.0.1", 1)));
   }
 
   @Test
-  public void aFailedTaskRunsAgainUntilItsAttemptsAreUsed() {
+  public void aFailedTaskIsRetriedUntilItsAttemptsAreUsed() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(1)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.0", 1), RunEnd.FAILED, 10), 10);
-    show(owner, "h1", SMALL, 1);
-    settle(owner, 10);
+    sendRows(owner, "h1", SMALL, 1);
+    collectEffects(owner, 10);
     assertEquals(started(), List.of(new RunRef("j.0.0", 2)));
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.0", 2), RunEnd.FAILED, 10), 20);
-    settle(owner, 20);
+    collectEffects(owner, 20);
     assertTrue(answers().getFirst() instanceof JobEnd.Failed);
   }
 
@@ -167,62 +167,62 @@
   public void failuresOnAWorkerThatFailsEverythingUseNoAttempt() {
     JobOwner owner = ownerWith("h1", "h2");
     owner.submit(plan("j", 0, 1, step(1)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     String host = ((OwnerEffect.SendToHost) effects.get(effects.size() - 1)).hostId();
     owner.hostRowsReceived(
         host, new HostRows(1, List.of(row(host + "-w", SMALL, WorkerState.FAILING))), 0);
     owner.runEnded(host, new RunEnded(new RunRef("j.0.0", 1), RunEnd.FAILED, 10), 10);
-    settle(owner, 10);
+    collectEffects(owner, 10);
     assertEquals(answers(), List.of());
     assertEquals(started(), List.of(new RunRef("j.0.0", 2)));
   }
 
   @Test
-  public void aRefusedNumberIsLeftFarBehind() {
+  public void skipsRunNumbersAfterARefusedOne() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(1)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     owner.runNotStarted("h1", new RunNotStarted(new RunRef("j.0.0", 1), RunRefusal.OLD_NUMBER), 5);
-    show(owner, "h1", SMALL, 1);
-    settle(owner, 5);
+    sendRows(owner, "h1", SMALL, 1);
+    collectEffects(owner, 5);
     assertEquals(started(), List.of(new RunRef("j.0.0", 18)));
   }
 
   @Test
-  public void runsOfALostHostStartElsewhereOnlyOnceTheyAreProvablyOver() {
+  public void runsOfALostHostAreRetriedOnlyOnceTheyMustHaveEnded() {
     JobOwner owner = ownerWith("h1");
     owner.submit(new JobPlan("j", "q", "s", "spec", 0, 2, 10_000, 30_000, List.of(step(1))), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     owner.sessionLost("h1", true, 100);
     owner.sessionOpened("h2", "z", 1, true);
-    show(owner, "h2", SMALL, 0);
+    sendRows(owner, "h2", SMALL, 0);
     owner.onTick(100 + TIMING.runsOverAfterSilenceMs() - 1);
-    settle(owner, 100 + TIMING.runsOverAfterSilenceMs() - 1);
+    collectEffects(owner, 100 + TIMING.runsOverAfterSilenceMs() - 1);
     assertEquals(started(), List.of());
     owner.onTick(100 + TIMING.runsOverAfterSilenceMs());
-    settle(owner, 100 + TIMING.runsOverAfterSilenceMs());
+    collectEffects(owner, 100 + TIMING.runsOverAfterSilenceMs());
     assertEquals(started(), List.of(new RunRef("j.0.0", 2)));
   }
 
   @Test
-  public void aNewSessionShowsThatTheRunsBeforeItAreOver() {
+  public void aNewSessionCanConfirmThatFormerRunsHaveEnded() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(1)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     owner.sessionLost("h1", false, 100);
     owner.sessionOpened("h1", "z", 2, true);
-    show(owner, "h1", SMALL, 0);
-    settle(owner, 200);
+    sendRows(owner, "h1", SMALL, 0);
+    collectEffects(owner, 200);
     assertEquals(started(), List.of(new RunRef("j.0.0", 2)));
   }
 
   @Test
-  public void stopsTheRunsOfAJobWhoseCallerLeft() {
+  public void stopsTheRunsOfADroppedJob() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(2)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     owner.drop("j", "caller left");
-    settle(owner, 10);
+    collectEffects(owner, 10);
     assertEquals(stops(), 2);
     assertTrue(answers().getFirst() instanceof JobEnd.Dropped);
   }
@@ -232,24 +232,24 @@
     JobOwner owner = JobOwner.create(TIMING);
     owner.submit(plan("j", 0, 2, step(1)), 0);
     owner.onTick(119);
-    settle(owner, 119);
+    collectEffects(owner, 119);
     assertEquals(answers(), List.of());
     owner.onTick(120);
-    settle(owner, 120);
+    collectEffects(owner, 120);
     assertTrue(answers().getFirst() instanceof JobEnd.Refused);
   }
 
   @Test
-  public void withoutAnyWorkerAJobThatCannotWaitIsRefusedSoon() {
+  public void withoutWorkersAJobThatExpiresSoonIsRefused() {
     JobOwner owner = JobOwner.create(TIMING);
     owner.onTick(1_000);
     owner.onTick(1_400);
-    JobPlan hurried = new JobPlan("j", "q", "s", "spec", 0, 2, 500, 1_500, List.of(step(1)));
-    JobPlan patient = new JobPlan("k", "q", "s", "spec", 0, 2, 2_000, 6_000, List.of(step(1)));
-    owner.submit(hurried, 1_400);
-    owner.submit(patient, 1_400);
+    JobPlan expiresSoon = new JobPlan("j", "q", "s", "spec", 0, 2, 500, 1_500, List.of(step(1)));
+    JobPlan expiresLater = new JobPlan("k", "q", "s", "spec", 0, 2, 2_000, 6_000, List.of(step(1)));
+    owner.submit(expiresSoon, 1_400);
+    owner.submit(expiresLater, 1_400);
     owner.onTick(1_450);
-    settle(owner, 1_450);
+    collectEffects(owner, 1_450);
     assertEquals(answers().size(), 1);
     assertTrue(answers().getFirst() instanceof JobEnd.Refused);
     assertEquals(owner.jobCount(), 1);
@@ -259,34 +259,34 @@
   public void aJobThatMayHaveStartedIsNeverRefused() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(1)), 0);
-    settle(owner, 0);
-    // Nor is it called failed: no task has failed so often.
+    collectEffects(owner, 0);
+    // It does not fail either, as no task has used up its attempts.
     owner.onTick(10_000);
-    settle(owner, 10_000);
+    collectEffects(owner, 10_000);
     assertEquals(answers(), List.of());
   }
 
   @Test
-  public void aCancelledJobIsNotCalledFailed() {
+  public void aCancelledJobEndsAsCancelled() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(1)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     assertTrue(owner.cancel("j"));
     assertFalse(owner.cancel("j"));
-    settle(owner, 1);
+    collectEffects(owner, 1);
     assertEquals(answers(), List.of(new JobEnd.Cancelled()));
     assertEquals(stops(), 1);
   }
 
   @Test
-  public void whatCanBeInTimeGoesBeforeWhatWillBeLate() {
+  public void jobsThatCanBeInTimePrecedeLateOnes() {
     JobOwner owner = ownerWith("h1");
-    show(owner, "h1", Rooms.none(), 0);
+    sendRows(owner, "h1", Rooms.none(), 0);
     owner.submit(plan("late", 0, 2, step(2)), 0);
     owner.onTick(90);
     owner.submit(plan("soon", 1, 2, step(2)), 90);
-    show(owner, "h1", SMALL, 0);
-    settle(owner, 95);
+    sendRows(owner, "h1", SMALL, 0);
+    collectEffects(owner, 95);
     assertEquals(started(), List.of(new RunRef("soon.0.0", 1), new RunRef("soon.0.1", 1)));
   }
 
@@ -294,12 +294,12 @@
   public void aJobWhoseOrdersWereAllRefusedCountsAsNotStarted() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(1)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     owner.runNotStarted("h1", new RunNotStarted(new RunRef("j.0.0", 1), RunRefusal.ROOM), 5);
-    show(owner, "h1", Rooms.none(), 1);
-    settle(owner, 5);
+    sendRows(owner, "h1", Rooms.none(), 1);
+    collectEffects(owner, 5);
     owner.onTick(300);
-    settle(owner, 300);
+    collectEffects(owner, 300);
     assertTrue(answers().getFirst() instanceof JobEnd.Refused);
   }
 
@@ -307,99 +307,100 @@
   public void movesARunFromAWorkerThatIsFarSlowerThanOthers() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(2)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     owner.sessionOpened("h2", "z", 1, true);
-    show(owner, "h2", SMALL, 0);
+    sendRows(owner, "h2", SMALL, 0);
     owner.sessionOpened("h3", "z", 1, true);
-    show(owner, "h3", SMALL, 0);
+    sendRows(owner, "h3", SMALL, 0);
     long stopped = 0;
-    for (long now = 25; now <= 400; now += 25) {
-      showState(owner, "h1", WorkerState.READY, now);
-      owner.onTick(now);
-      settle(owner, now);
+    for (long nowMs = 25; nowMs <= 400; nowMs += 25) {
+      sendState(owner, "h1", WorkerState.READY, nowMs);
+      owner.onTick(nowMs);
+      collectEffects(owner, nowMs);
       stopped += stops();
     }
     assertEquals(stopped, 2);
   }
 
-  private List<OwnerWaiting> waitingTold() {
-    List<OwnerWaiting> told = new ArrayList<>();
+  private List<OwnerWaiting> waitingReports() {
+    List<OwnerWaiting> reports = new ArrayList<>();
     for (OwnerEffect effect : effects) {
       if (effect instanceof OwnerEffect.SendToHost to
-          && to.message() instanceof OwnerWaiting news) {
-        told.add(news);
+          && to.message() instanceof OwnerWaiting report) {
+        reports.add(report);
       }
     }
-    return told;
+    return reports;
   }
 
   @Test
-  public void tellsHostsWhatWaitsAndWhenNothingDoesAnyMore() {
+  public void reportsWaitingTasksToHostsUntilNoneIsLeft() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 1, 2, step(5)), 100);
-    settle(owner, 110);
-    assertEquals(waitingTold(), List.of(new OwnerWaiting(List.of(new WaitingRow("s", 1, 10, 3)))));
-    settle(owner, 200);
-    assertEquals(waitingTold(), List.of());
+    collectEffects(owner, 110);
+    assertEquals(
+        waitingReports(), List.of(new OwnerWaiting(List.of(new WaitingRow("s", 1, 10, 3)))));
+    collectEffects(owner, 200);
+    assertEquals(waitingReports(), List.of());
     owner.cancel("j");
-    settle(owner, 210);
-    assertEquals(waitingTold(), List.of(new OwnerWaiting(List.of())));
+    collectEffects(owner, 210);
+    assertEquals(waitingReports(), List.of(new OwnerWaiting(List.of())));
   }
 
   @Test
-  public void aNewHostHearsWhatWaits() {
+  public void aNewHostReceivesTheWaitingTasks() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 1, 2, step(3)), 100);
-    settle(owner, 110);
+    collectEffects(owner, 110);
     owner.sessionOpened("h2", "z", 1, true);
-    settle(owner, 111);
-    assertEquals(waitingTold().size(), 1);
+    collectEffects(owner, 111);
+    assertEquals(waitingReports().size(), 1);
   }
 
   @Test
-  public void leavesFreedRoomOfAFullWorkerToItsHost() {
+  public void leavesTheFreedRoomOfAFullWorkerToItsHost() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(3)), 0);
-    settle(owner, 0);
-    show(owner, "h1", new Room(0, 980, 0), 1);
+    collectEffects(owner, 0);
+    sendRows(owner, "h1", new Room(0, 980, 0), 1);
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.0", 1), RunEnd.DONE, 100), 100);
-    settle(owner, 100);
+    collectEffects(owner, 100);
     assertEquals(started(), List.of());
-    show(owner, "h1", new Room(1_000, 990, 0), 1);
-    settle(owner, 101);
+    sendRows(owner, "h1", new Room(1_000, 990, 0), 1);
+    collectEffects(owner, 101);
     assertEquals(started(), List.of(new RunRef("j.0.2", 1)));
   }
 
-  private void showState(JobOwner owner, String host, WorkerState state, long nowMs) {
+  private void sendState(JobOwner owner, String host, WorkerState state, long nowMs) {
     owner.hostRowsReceived(host, new HostRows(1, List.of(row(host + "-w", SMALL, state))), nowMs);
   }
 
-  /** Returns an owner of one job with a run at the first of three hosts. */
-  private JobOwner ownerWithARunAtTheFirst() {
+  /** Returns an owner of one job, with a run at the first of three hosts. */
+  private JobOwner ownerWithARunAtTheFirstHost() {
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(1)), 0);
-    settle(owner, 0);
+    collectEffects(owner, 0);
     for (String host : List.of("h2", "h3")) {
       owner.sessionOpened(host, "z", 1, true);
-      show(owner, host, SMALL, 0);
+      sendRows(owner, host, SMALL, 0);
     }
     return owner;
   }
 
   @Test
-  public void aRunLeavesAWorkerThatStandsStill() {
-    JobOwner owner = ownerWithARunAtTheFirst();
+  public void aRunIsMovedFromAStalledWorker() {
+    JobOwner owner = ownerWithARunAtTheFirstHost();
     owner.onTick(50);
-    settle(owner, 50);
+    collectEffects(owner, 50);
     assertEquals(stops(), 0);
-    showState(owner, "h1", WorkerState.STALLED, 100);
+    sendState(owner, "h1", WorkerState.STALLED, 100);
     owner.onTick(100);
-    settle(owner, 100);
+    collectEffects(owner, 100);
     assertEquals(stops(), 1);
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.0", 1), RunEnd.STOPPED, 100), 110);
-    settle(owner, 110);
+    collectEffects(owner, 110);
     assertEquals(started(), List.of(new RunRef("j.0.0", 2)));
-    // None goes back to the worker that stands still.
+    // No run returns to the stalled worker.
     assertTrue(
         effects.stream()
             .noneMatch(
@@ -411,102 +412,102 @@
 
   @Test
   public void aRunThatIsAboutToEndStaysOnASlowWorker() {
-    JobOwner owner = ownerWithARunAtTheFirst();
-    showState(owner, "h1", WorkerState.SLOW, 80);
+    JobOwner owner = ownerWithARunAtTheFirstHost();
+    sendState(owner, "h1", WorkerState.SLOW, 80);
     owner.onTick(80);
-    settle(owner, 80);
+    collectEffects(owner, 80);
     assertEquals(stops(), 0);
-    showState(owner, "h1", WorkerState.SLOW, 130);
+    sendState(owner, "h1", WorkerState.SLOW, 130);
     owner.onTick(130);
-    settle(owner, 130);
+    collectEffects(owner, 130);
     assertEquals(stops(), 1);
   }
 
   @Test
-  public void aRunOfAHostThatIsNotHeardIsNotTakenForOverdue() {
-    JobOwner owner = ownerWithARunAtTheFirst();
-    showState(owner, "h1", WorkerState.SLOW, 80);
+  public void aRunOfASilentHostIsNotConsideredOverdue() {
+    JobOwner owner = ownerWithARunAtTheFirstHost();
+    sendState(owner, "h1", WorkerState.SLOW, 80);
     owner.onTick(600);
-    settle(owner, 600);
+    collectEffects(owner, 600);
     assertEquals(stops(), 0);
   }
 
   @Test
-  public void aHostWithoutAConnectionGetsNothingNewUntilItHasOne() {
+  public void aHostWithoutAConnectionGetsNoNewOrders() {
     JobOwner owner = ownerWith("h1");
     owner.sessionSuspended("h1");
     owner.submit(plan("j", 0, 2, step(1)), 100);
-    settle(owner, 100);
+    collectEffects(owner, 100);
     assertEquals(started(), List.of());
     owner.sessionResumed("h1");
-    settle(owner, 150);
+    collectEffects(owner, 150);
     assertEquals(started(), List.of(new RunRef("j.0.0", 1)));
   }
 
   @Test
-  public void aRunGoesOnWhileItsHostHasNoConnection() {
-    JobOwner owner = ownerWithARunAtTheFirst();
+  public void aRunContinuesWhileItsHostHasNoConnection() {
+    JobOwner owner = ownerWithARunAtTheFirstHost();
     owner.sessionSuspended("h1");
     owner.onTick(5_000);
     owner.sessionResumed("h1");
-    settle(owner, 5_000);
+    collectEffects(owner, 5_000);
     assertEquals(started(), List.of());
     assertEquals(stops(), 0);
     owner.runEnded("h1", new RunEnded(new RunRef("j.0.0", 1), RunEnd.DONE, 100), 5_001);
-    settle(owner, 5_001);
+    collectEffects(owner, 5_001);
     assertEquals(answers(), List.of(new JobEnd.Completed()));
   }
 
   @Test
-  public void nothingIsMovedWhereMostWorkersStandStill() {
-    JobOwner owner = ownerWithARunAtTheFirst();
+  public void nothingIsMovedIfMostWorkersAreStalled() {
+    JobOwner owner = ownerWithARunAtTheFirstHost();
     for (String host : List.of("h1", "h2", "h3")) {
-      showState(owner, host, WorkerState.STALLED, 100);
+      sendState(owner, host, WorkerState.STALLED, 100);
     }
     owner.onTick(100);
-    settle(owner, 100);
+    collectEffects(owner, 100);
     assertEquals(stops(), 0);
   }
 
   @Test
-  public void aJobThatCannotBeInTimeLeavesTheLastRoomToOthers() {
+  public void aLateJobLeavesTheLastRoomToOthers() {
     JobOwner owner = ownerWith();
     for (String id : List.of("i", "j")) {
       owner.submit(new JobPlan(id, "q", "s", "spec", 0, 2, 100, 9_000, List.of(step(1))), 0);
     }
     owner.onTick(200);
     owner.sessionOpened("h1", "z", 1, true);
-    show(owner, "h1", SMALL, 0);
-    settle(owner, 200);
-    // The worker has room for two such runs; with the second nothing would be left.
+    sendRows(owner, "h1", SMALL, 0);
+    collectEffects(owner, 200);
+    // The worker has room for two such runs, but the second would leave nothing free.
     assertEquals(started(), List.of(new RunRef("i.0.0", 1)));
     owner.submit(plan("k", 0, 2, step(1)), 200);
-    settle(owner, 200);
+    collectEffects(owner, 200);
     assertEquals(started(), List.of(new RunRef("k.0.0", 1)));
   }
 
   @Test
-  public void aTaskThatNeedsAWholeWorkerIsRunThoughItsJobIsLate() {
+  public void aLateTaskThatNeedsAWholeWorkerIsStarted() {
     JobOwner owner = ownerWith();
     StepPlan whole = StepPlan.of(1, SMALL, 100);
     owner.submit(new JobPlan("j", "q", "s", "spec", 0, 2, 100, 9_000, List.of(whole)), 0);
     owner.onTick(200);
     owner.sessionOpened("h1", "z", 1, true);
-    show(owner, "h1", SMALL, 0);
-    settle(owner, 200);
+    sendRows(owner, "h1", SMALL, 0);
+    collectEffects(owner, 200);
     assertEquals(started().size(), 1);
   }
 
-  /** Its caller waited until the time was up, for room that no worker has. */
+  /** Guards against jobs that wait until they expire for room that no worker has. */
   @Test
-  public void aTaskThatFitsNoWorkerOfTheFleetIsRefusedAtOnce() {
+  public void aTaskThatFitsNoWorkerIsRefusedAtOnce() {
     JobOwner owner = ownerWith("h1", "h2");
     owner.onTick(1);
     owner.onTick(3_000);
-    settle(owner, 3_000);
-    StepPlan wide = StepPlan.of(1, new Room(3_000, 10, 0), 100);
-    owner.submit(plan("wide", 0, 2, wide), 3_010);
-    settle(owner, 3_010);
+    collectEffects(owner, 3_000);
+    StepPlan oversized = StepPlan.of(1, new Room(3_000, 10, 0), 100);
+    owner.submit(plan("wide", 0, 2, oversized), 3_010);
+    collectEffects(owner, 3_010);
     assertTrue(
         effects.stream()
             .anyMatch(
@@ -515,14 +516,14 @@
                         && answer.end() instanceof JobEnd.Refused));
   }
 
-  /** A process that has just started may know the small workers only. */
+  /** A process that has just started may know only the small workers yet. */
   @Test
-  public void untilTheFleetIsKnownAWideTaskWaits() {
+  public void anOversizedTaskWaitsUntilTheFleetIsKnown() {
     JobOwner owner = ownerWith("h1");
     owner.onTick(1);
-    StepPlan wide = StepPlan.of(1, new Room(3_000, 10, 0), 100);
-    owner.submit(plan("wide", 0, 2, wide), 10);
-    settle(owner, 10);
+    StepPlan oversized = StepPlan.of(1, new Room(3_000, 10, 0), 100);
+    owner.submit(plan("wide", 0, 2, oversized), 10);
+    collectEffects(owner, 10);
     assertEquals(owner.jobCount(), 1);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/owner/PlacementPassTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/PlacementPassTest.java
@@ -22,18 +22,18 @@
   private static final Room LARGE = new Room(1_800, 10, 0);
   private static final Room SMALL = new Room(500, 10, 0);
 
-  /** Counts how often someone looks through the hosts. */
-  private static final class CountedHosts extends AbstractCollection<HostView> {
+  /** Counts the iterations over the hosts. */
+  private static final class CountingHosts extends AbstractCollection<HostView> {
     private final List<HostView> hosts;
-    private int looks;
+    private int searches;
 
-    private CountedHosts(List<HostView> hosts) {
+    private CountingHosts(List<HostView> hosts) {
       this.hosts = hosts;
     }
 
     @Override
     public Iterator<HostView> iterator() {
-      looks++;
+      searches++;
       return hosts.iterator();
     }
 
@@ -43,7 +43,7 @@
     }
   }
 
-  private CountedHosts hosts;
+  private CountingHosts hosts;
   private PlacementPass pass;
 
   private static HostView host(String id, String rack, Room free) {
@@ -60,10 +60,10 @@
   }
 
   @BeforeMethod
-  public void open() {
+  public void setUp() {
     HostView host = host("h", "r1", new Room(1_000, 1_000, 0));
-    hosts = new CountedHosts(List.of(host));
-    pass = new PlacementPass(new WorkerChoice(new SpeedTable()), hosts, hosts, 0);
+    hosts = new CountingHosts(List.of(host));
+    pass = new PlacementPass(new WorkerSelector(new WorkerSpeeds()), hosts, hosts, 0);
   }
 
   private static OwnedTask task(String jobId, StepPlan step) {
@@ -71,38 +71,38 @@
     return new OwnedJob(plan, 0, 1).tasksOf(0).getFirst();
   }
 
-  private static StepPlan step(Room need, String requires, int maxTasksPerWorker) {
-    return new StepPlan(1, need, 100, List.of(), requires, "", maxTasksPerWorker);
+  private static StepPlan step(Room need, String requiredLabel, int maxTasksPerWorker) {
+    return new StepPlan(1, need, 100, List.of(), requiredLabel, "", maxTasksPerWorker);
   }
 
   @Test
-  public void whatNeedsAsMuchAsATaskWithoutRoomIsNotLookedFor() {
+  public void tasksThatNeedAsMuchAsAnUnplaceableOneAreNotSearchedFor() {
     assertTrue(pass.choose(task("a", step(LARGE, "", 0))).isEmpty());
-    int looks = hosts.looks;
+    int searches = hosts.searches;
     assertTrue(pass.choose(task("b", step(LARGE, "", 0))).isEmpty());
     assertTrue(pass.choose(task("c", step(CAPACITY, "a", 1))).isEmpty());
-    assertEquals(hosts.looks, looks);
+    assertEquals(hosts.searches, searches);
   }
 
   @Test
-  public void whatNeedsLessFindsItsRoomBehindWhatHasNone() {
+  public void aSmallerTaskIsPlacedAfterAnUnplaceableOne() {
     assertTrue(pass.choose(task("a", step(LARGE, "", 0))).isEmpty());
     assertTrue(pass.choose(task("b", step(SMALL, "", 0))).isPresent());
   }
 
   @Test
-  public void aMissForALabelSaysNothingOfOtherTasks() {
+  public void anUnmetLabelDoesNotAffectOtherTasks() {
     assertTrue(pass.choose(task("a", step(SMALL, "elsewhere", 0))).isEmpty());
     assertTrue(pass.choose(task("b", step(SMALL, "a", 0))).isPresent());
     assertTrue(pass.choose(task("c", step(SMALL, "", 0))).isPresent());
   }
 
   @Test
-  public void aMissOfATaskThatMayNotShareItsWorkerSaysNothingOfOtherTasks() {
+  public void aPerWorkerLimitDoesNotAffectOtherTasks() {
     StepPlan alone = new StepPlan(2, SMALL, 100, List.of(), "", "", 1);
     JobPlan plan = new JobPlan("a", "q", "s", "spec", 0, 2, 100, 300, List.of(alone));
     List<OwnedTask> tasks = new OwnedJob(plan, 0, 1).tasksOf(0);
-    tasks.getFirst().noteOrdered(workerOf(host("h", "r1", SMALL)), 0);
+    tasks.getFirst().recordOrder(workerOf(host("h", "r1", SMALL)), 0);
     assertFalse(pass.choose(tasks.getLast()).isPresent());
     assertTrue(pass.choose(task("b", step(SMALL, "", 0))).isPresent());
   }
@@ -112,27 +112,27 @@
   }
 
   @Test
-  public void hostsThatAreNotFollowedGetWhatFitsNowhereElse() {
+  public void unfollowedHostsGetTasksThatFitNowhereElse() {
     HostView followed = host("followed", "r1", new Room(600, 1_000, 0));
     HostView other = host("other", "r2", CAPACITY);
     PlacementPass both =
         new PlacementPass(
-            new WorkerChoice(new SpeedTable()), List.of(followed), List.of(followed, other), 0);
+            new WorkerSelector(new WorkerSpeeds()), List.of(followed), List.of(followed, other), 0);
 
     assertEquals(chosen(both, task("a", step(SMALL, "", 0))), "followed");
     assertEquals(chosen(both, task("b", step(LARGE, "", 0))), "other");
   }
 
   @Test
-  public void aTaskGoesToItsDataWhoeverFollowsIt() {
+  public void aTaskIsPlacedNearItsDataEvenOnAnUnfollowedHost() {
     HostView followed = host("followed", "r1", CAPACITY);
     HostView other = host("other", "r2", CAPACITY);
     PlacementPass both =
         new PlacementPass(
-            new WorkerChoice(new SpeedTable()), List.of(followed), List.of(followed, other), 0);
-    StepPlan atItsData = new StepPlan(1, SMALL, 100, List.of(), "", "r2", 0);
+            new WorkerSelector(new WorkerSpeeds()), List.of(followed), List.of(followed, other), 0);
+    StepPlan nearItsData = new StepPlan(1, SMALL, 100, List.of(), "", "r2", 0);
 
-    assertEquals(chosen(both, task("a", atItsData)), "other");
+    assertEquals(chosen(both, task("a", nearItsData)), "other");
   }
 
   private static List<OwnedTask> tasks(int count, Room need) {
@@ -141,12 +141,12 @@
     return new OwnedJob(plan, 0, 1).tasksOf(0);
   }
 
-  /** Places tasks as an owner does, and returns where they went. */
+  /** Places tasks as an owner does, and returns their hosts. */
   private static List<String> placed(PlacementPass pass, List<OwnedTask> tasks) {
     List<String> places = new ArrayList<>();
     for (OwnedTask task : tasks) {
       WorkerView worker = pass.choose(task).orElseThrow();
-      worker.noteOrder(1, task);
+      worker.recordOrder(1, task);
       places.add(worker.hostId);
     }
     return places;
@@ -154,43 +154,43 @@
 
   private static PlacementPass passOver(HostView... hosts) {
     return new PlacementPass(
-        new WorkerChoice(new SpeedTable()), List.of(hosts), List.of(hosts), /* nowMs= */ 0);
+        new WorkerSelector(new WorkerSpeeds()), List.of(hosts), List.of(hosts), /* nowMs= */ 0);
   }
 
   @Test
-  public void tasksOfOneStepStayTogetherWhileTheirWorkerKeepsSomeRoom() {
+  public void tasksOfOneStepShareAWorkerWhileItKeepsSomeRoom() {
     PlacementPass pass = passOver(host("h1", "r1", CAPACITY), host("h2", "r1", CAPACITY));
     assertEquals(placed(pass, tasks(4, SMALL)), List.of("h1", "h1", "h1", "h2"));
   }
 
   @Test
-  public void theNextJobBeginsAtTheWorkerWithMostRoom() {
+  public void theNextJobStartsOnTheWorkerWithMostRoom() {
     PlacementPass pass = passOver(host("h1", "r1", CAPACITY), host("h2", "r1", CAPACITY));
     assertEquals(placed(pass, tasks(2, SMALL)), List.of("h1", "h1"));
     assertEquals(placed(pass, tasks(2, SMALL)), List.of("h2", "h2"));
   }
 
   @Test
-  public void aTaskDoesNotFollowOthersToTheWorkerThatItFailedOn() {
+  public void aTaskDoesNotJoinOthersOnTheWorkerItFailedOn() {
     HostView failed = host("h1", "r1", CAPACITY);
     PlacementPass pass = passOver(failed, host("h2", "r1", SMALL));
     List<OwnedTask> tasks = tasks(2, SMALL);
-    tasks.getLast().noteOrdered(workerOf(failed), 0);
-    tasks.getLast().avoidItsWorker();
+    tasks.getLast().recordOrder(workerOf(failed), 0);
+    tasks.getLast().avoidCurrentWorker();
     assertEquals(placed(pass, tasks), List.of("h1", "h2"));
   }
 
-  /** Returns a pass over one worker that takes some twice as long as the others. */
+  /** Returns a pass over one worker that takes about twice as long as the others. */
   private static PlacementPass passOverSlowWorker(long nowMs) {
-    SpeedTable speeds = new SpeedTable();
+    WorkerSpeeds speeds = new WorkerSpeeds();
     for (int i = 0; i < 400; i++) {
-      speeds.noteRun(i % 10 == 0 ? "h-w" : "other", i % 10 == 0 ? 220 : 100, 100, nowMs);
+      speeds.recordRun(i % 10 == 0 ? "h-w" : "other", i % 10 == 0 ? 220 : 100, 100, nowMs);
     }
     List<HostView> hosts = List.of(host("h", "r1", CAPACITY));
-    return new PlacementPass(new WorkerChoice(speeds), hosts, hosts, nowMs);
+    return new PlacementPass(new WorkerSelector(speeds), hosts, hosts, nowMs);
   }
 
-  /** Returns a task of some 50 ms whose job was taken at 0 and has 300 ms. */
+  /** Returns a task of about 50 ms whose job was accepted at 0 and has an objective of 300 ms. */
   private static OwnedTask shortTask() {
     StepPlan step = new StepPlan(1, SMALL, 50, List.of(), "", "", 0);
     JobPlan plan = new JobPlan("a", "q", "s", "spec", 0, 2, 300, 900, List.of(step));
@@ -198,18 +198,18 @@
   }
 
   @Test
-  public void aTaskThatASlowWorkerWouldMakeLateWaitsForAnother() {
+  public void aTaskThatASlowWorkerWouldMakeLateWaitsForAnotherWorker() {
     assertTrue(passOverSlowWorker(10).choose(shortTask()).isPresent());
     assertTrue(passOverSlowWorker(220).choose(shortTask()).isEmpty());
   }
 
   @Test
-  public void aTaskThatIsLateAnywayTakesASlowWorker() {
+  public void aTaskThatIsLateAnywhereIsPlacedOnASlowWorker() {
     assertTrue(passOverSlowWorker(290).choose(shortTask()).isPresent());
   }
 
   @Test
-  public void aTaskThatWaitsForAnotherWorkerSaysNothingOfThoseThatHaveMoreTime() {
+  public void aTaskThatWaitsForAFasterWorkerDoesNotAffectTasksWithMoreTime() {
     PlacementPass pass = passOverSlowWorker(220);
     assertTrue(pass.choose(shortTask()).isEmpty());
     assertTrue(pass.choose(task("b", step(SMALL, "", 0))).isPresent());
--- a/core/src/test/java/io/hingehoist/run/owner/SleepCheckTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/SleepCheckTest.java
@@ -9,7 +9,7 @@
   private final SleepCheck check = SleepCheck.create();
 
   @Test
-  public void anOwnerGoesOnOnceAHostProvesThatItsSessionGoesOn() {
+  public void aProofOfAnOpenSessionEndsTheCheck() {
     long number = check.begin(3, 1_000);
     assertTrue(check.isPending());
     check.proofReceived(number);
@@ -18,7 +18,7 @@
   }
 
   @Test
-  public void withoutAProofInTimeItHasSlept() {
+  public void withoutAProofInTimeTheBoxHasSlept() {
     check.begin(3, 1_000);
     assertFalse(check.hasSlept(1_299));
     assertTrue(check.hasSlept(1_300));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  public void aProofOfAnEarlierDoubtIsNone() {
+  public void aProofOfAnEarlierCheckIsIgnored() {
     long first = check.begin(3, 1_000);
     check.begin(3, 1_100);
     check.proofReceived(first);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  public void withoutAnyoneToAskItHasSlept() {
+  public void withoutHostsToProbeTheBoxHasSlept() {
     check.begin(0, 1_000);
     assertTrue(check.hasSlept(1_000));
   }
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -161,7 +161,7 @@
       takeUpLease(hostId, session);
     }
     session.stream.recordSent(message);
-    session.openRuns.record(message);
+    session.openRuns.apply(message);
     session.channel.ifPresent(channel -> channel.send(message));
   }
 
@@ -311,7 +311,7 @@
       Session session = sessions.get(host.nodeId());
       if (session != null && session.isOn(channel)) {
         session.stream.recordReceived(message).ifPresent(channel::send);
-        session.openRuns.record(message);
+        session.openRuns.apply(message);
         noteHeard(host.nodeId(), session);
         receive(host.nodeId(), session, message);
         return;
