--- a/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
+++ b/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Drops every job. Called after the owner was suspended for so long that its hosts have stopped
-   * its runs and its callers may have turned to another owner.
+   * Drops every job. Called after the owner's process was paused for so long that its hosts have
+   * stopped its runs and its callers may have turned to another owner.
    */
   public void dropAll(String reason) {
     for (OwnedJob job : List.copyOf(jobs.values())) {
@@ -204,8 +204,8 @@
 
   /**
    * Handles the loss of the connection of a session that remains open. The host gets no new orders
-   * until the session has a connection again, since they could not be delivered; runs that are
-   * already ordered continue.
+   * until the session has a connection again, since an order would have to wait for it. Runs that
+   * are already ordered continue.
    */
   public void sessionSuspended(String hostId) {
     hosts.suspend(hostId);
--- a/core/src/main/java/io/hingehoist/run/owner/StragglerDetector.java
+++ b/core/src/main/java/io/hingehoist/run/owner/StragglerDetector.java
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Returns whether to move an active run, and records the run time so far in the worker's speed.
+   * Returns whether to move an active run; an overdue run is also recorded in its worker's speed.
    */
   boolean shouldMove(OwnedTask task, long nowMs) {
     long ranMs = observedRunMs(task);
--- a/core/src/test/java/io/hingehoist/run/LoadSimulationTest.java
+++ b/core/src/test/java/io/hingehoist/run/LoadSimulationTest.java
@@ -21,7 +21,7 @@
    * number of refused starts differs by a factor of three between seeds, so the mean is bounded.
    */
   @Test
-  public void urgentWorkPrecedesAcrossOwnersNearCapacity() {
+  public void urgentWorkOfAnyOwnerIsServedFirstNearCapacity() {
     int seeds = 8;
     long refusedStarts = 0;
     for (long seed = 1; seed <= seeds; seed++) {
@@ -61,9 +61,10 @@
   public void workersAtHalfSpeedGetTasksThatAreInTimeThere() {
     LoadSimulation.WorkerFault halfSpeed = new LoadSimulation.WorkerFault(0.16, 0.5, 0, 10_000);
     double usual = LoadSimulation.run(2, 3, 11, 11, 0.95, 8_000, halfSpeed).earnedShare();
-    double nearTheRoom = LoadSimulation.run(3, 6, 44, 24, 4 * 1.45, 8_000, halfSpeed).earnedShare();
+    double nearCapacity =
+        LoadSimulation.run(3, 6, 44, 24, 4 * 1.45, 8_000, halfSpeed).earnedShare();
     assertTrue(usual > 0.95, "earned " + usual);
-    assertTrue(nearTheRoom > 0.89, "earned " + nearTheRoom);
+    assertTrue(nearCapacity > 0.89, "earned " + nearCapacity);
   }
 
   /**
--- a/core/src/test/java/io/hingehoist/run/load/UrgentReservationTest.java
+++ b/core/src/test/java/io/hingehoist/run/load/UrgentReservationTest.java
@@ -8,8 +8,8 @@
 
 public final class UrgentReservationTest {
   private static final int URGENT = 0;
-  private static final int MIDDLE = 1;
-  private static final int LAST = 2;
+  private static final int MEDIUM = 1;
+  private static final int LEAST_URGENT = 2;
 
   private UrgentReservation reservation;
 
@@ -17,28 +17,28 @@
   public void recordArrivals() {
     reservation = UrgentReservation.ofPercent(10);
     reservation.recordArrival(URGENT, 86, 1_000);
-    reservation.recordArrival(MIDDLE, 286, 1_000);
-    reservation.recordArrival(LAST, 1_286, 1_000);
+    reservation.recordArrival(MEDIUM, 286, 1_000);
+    reservation.recordArrival(LEAST_URGENT, 1_286, 1_000);
   }
 
   @Test
   public void longWorkMayNotUseTheReservedRoom() {
-    assertTrue(reservation.mustWait(LAST, false, 0.09, 1_100));
+    assertTrue(reservation.mustWait(LEAST_URGENT, false, 0.09, 1_100));
   }
 
   @Test
   public void nothingWaitsWhileEnoughRoomIsFree() {
-    assertFalse(reservation.mustWait(LAST, false, 0.11, 1_100));
+    assertFalse(reservation.mustWait(LEAST_URGENT, false, 0.11, 1_100));
   }
 
   @Test
   public void startedJobsAreNotDelayed() {
-    assertFalse(reservation.mustWait(LAST, true, 0.0, 1_100));
+    assertFalse(reservation.mustWait(LEAST_URGENT, true, 0.0, 1_100));
   }
 
   @Test
   public void onlyTheLeastUrgentWorkWaits() {
-    assertFalse(reservation.mustWait(MIDDLE, false, 0.0, 1_100));
+    assertFalse(reservation.mustWait(MEDIUM, false, 0.0, 1_100));
   }
 
   @Test
@@ -48,15 +48,15 @@
 
   @Test
   public void noRoomIsReservedWithoutUrgentArrivals() {
-    assertFalse(reservation.mustWait(LAST, false, 0.0, 6_000));
+    assertFalse(reservation.mustWait(LEAST_URGENT, false, 0.0, 6_000));
   }
 
   @Test
   public void withoutTheSettingNothingIsReserved() {
     UrgentReservation none = UrgentReservation.ofPercent(0);
     none.recordArrival(URGENT, 86, 1_000);
-    none.recordArrival(LAST, 1_286, 1_000);
+    none.recordArrival(LEAST_URGENT, 1_286, 1_000);
     assertTrue(none.isDisabled());
-    assertFalse(none.mustWait(LAST, false, 0.0, 1_100));
+    assertFalse(none.mustWait(LEAST_URGENT, false, 0.0, 1_100));
   }
 }
--- a/core/src/test/java/io/hingehoist/run/owner/JobOwnerTest.java
+++ b/core/src/test/java/io/hingehoist/run/owner/JobOwnerTest.java
@@ -221,7 +221,7 @@
     JobOwner owner = ownerWith("h1");
     owner.submit(plan("j", 0, 2, step(2)), 0);
     collectEffects(owner, 0);
-    owner.drop("j", "caller left");
+    owner.drop("j", "caller disconnected");
     collectEffects(owner, 10);
     assertEquals(stops(), 2);
     assertTrue(answers().getFirst() instanceof JobEnd.Dropped);
