--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -172,7 +172,7 @@
       renewLease(hostId, session);
     }
     session.stream.recordSent(message);
-    session.openRuns.record(message);
+    session.openRuns.apply(message);
     session.channel.ifPresent(channel -> channel.send(message));
   }
 
@@ -329,7 +329,7 @@
       Session session = sessions.get(host.nodeId());
       if (session != null && session.usesChannel(channel)) {
         session.stream.recordReceived(message).ifPresent(channel::send);
-        session.openRuns.record(message);
+        session.openRuns.apply(message);
         resumeIfSilent(host.nodeId(), session);
         handleMessage(host.nodeId(), session, message);
         return;
