--- a/core/src/main/java/io/hingehoist/dispatch/JobRun.java
+++ b/core/src/main/java/io/hingehoist/dispatch/ActiveJob.java
@@ -9,11 +9,12 @@
 import java.util.Set;
 
 /**
- * One job that this entry owns, from its admission to its outcome. Owned by {@link JobDispatch}.
+ * Tracks a job that this entry owns, from its admission to its outcome. Not thread-safe: confined
+ * to the dispatch thread.
  */
-final class JobRun {
-  /** A character takes up to three bytes in UTF-8; a frame takes 16 MiB. */
-  private static final long MAX_ANSWER_CHARACTERS = 4L * 1024 * 1024;
+final class ActiveJob {
+  /** A character takes up to three bytes in UTF-8, and a frame holds up to 16 MiB. */
+  private static final long MAX_RESULT_CHARACTERS = 4L * 1024 * 1024;
 
   private final JobSpec spec;
   private final List<TaskWork> tasks;
@@ -23,10 +24,10 @@
   private int unfinished;
   private Optional<JobOutcome> outcome = Optional.empty();
   private boolean abandoned;
-  private boolean commitAsked;
+  private boolean commitRequested;
   private boolean committed;
 
-  private JobRun(JobSpec spec, long firstSequence, Set<String> awaitedFences) {
+  private ActiveJob(JobSpec spec, long firstSequence, Set<String> awaitedFences) {
     this.spec = spec;
     this.awaitedFences = new LinkedHashSet<>(awaitedFences);
     this.tasks = new ArrayList<>(spec.payloads().size());
@@ -36,18 +37,18 @@
     this.unfinished = tasks.size();
   }
 
-  /** Creates the run of a job that this entry admitted: none of its tasks was ever granted. */
-  static JobRun fresh(JobSpec spec, long firstSequence) {
-    return new JobRun(spec, firstSequence, Set.of());
+  /** Returns a job that this entry admitted, none of whose tasks was ever granted. */
+  static ActiveJob ofAdmitted(JobSpec spec, long firstSequence) {
+    return new ActiveJob(spec, firstSequence, Set.of());
   }
 
-  /** Creates the run of a job that another entry owned: its tasks wait for the agents' reports. */
-  static JobRun adopted(
+  /** Returns a job that another entry owned, whose tasks wait for the agents' fence reports. */
+  static ActiveJob ofAdopted(
       JobSpec spec, long firstSequence, Set<String> fencedAgents, List<String> lostAgents) {
-    JobRun run = new JobRun(spec, firstSequence, fencedAgents);
-    run.lostAgents.addAll(lostAgents);
-    run.tasks.forEach(TaskWork::hold);
-    return run;
+    ActiveJob job = new ActiveJob(spec, firstSequence, fencedAgents);
+    job.lostAgents.addAll(lostAgents);
+    job.tasks.forEach(TaskWork::markFenced);
+    return job;
   }
 
   JobSpec spec() {
@@ -79,11 +80,11 @@
     return awaitedFences.contains(agentId);
   }
 
-  void fenceAnswered(String agentId) {
+  void recordFenceReport(String agentId) {
     awaitedFences.remove(agentId);
   }
 
-  void fenceLost(String agentId) {
+  void recordFenceLost(String agentId) {
     awaitedFences.remove(agentId);
     lostAgents.add(agentId);
   }
@@ -92,11 +93,11 @@
     return lostAgents;
   }
 
-  void noteAgent(String agentId) {
+  void addAgent(String agentId) {
     agentIds.add(agentId);
   }
 
-  /** Returns every agent that was asked to start a task or was fenced. */
+  /** Returns every agent that was granted a task of the job or asked to fence it. */
   Set<String> agentIds() {
     return agentIds;
   }
@@ -109,41 +110,41 @@
     return tasks.stream().anyMatch(task -> task.stage() == TaskWork.Stage.GRANTED);
   }
 
-  /** Takes the failure of a task in, which fails the job. */
-  void failTask(TaskWork task, String reason) {
+  /** Records the failure of a task, which fails the job. */
+  void recordTaskFailure(TaskWork task, String reason) {
     if (task.stage() != TaskWork.Stage.DONE) {
-      task.finish("");
+      task.markDone("");
       unfinished--;
       fail("task " + task.index() + " failed: " + reason);
     }
   }
 
-  /** Takes the result of a task in; the last one completes the job. */
-  void finishTask(TaskWork task, String result) {
+  /** Records the result of a task. The last one completes the job. */
+  void recordTaskResult(TaskWork task, String result) {
     if (task.stage() == TaskWork.Stage.DONE) {
       return;
     }
-    task.finish(result);
+    task.markDone(result);
     unfinished--;
     if (unfinished == 0 && isOpen()) {
       complete();
     }
   }
 
-  /** The whole answer is one entry of the log, so it has to fit into one. */
+  /** Fails the job if its results together do not fit into one entry of the log. */
   private void complete() {
     List<String> results = tasks.stream().map(t -> t.result().orElseThrow()).toList();
-    long characters = results.stream().mapToLong(String::length).sum();
-    if (characters > MAX_ANSWER_CHARACTERS) {
+    long characterCount = results.stream().mapToLong(String::length).sum();
+    if (characterCount > MAX_RESULT_CHARACTERS) {
       fail(
-          "the results have %d characters together, at most %d fit into an answer"
-              .formatted(characters, MAX_ANSWER_CHARACTERS));
+          "the results have %d characters in total; at most %d are allowed"
+              .formatted(characterCount, MAX_RESULT_CHARACTERS));
       return;
     }
     outcome = Optional.of(new JobOutcome(OutcomeStatus.COMPLETE, "", results));
   }
 
-  /** Gives the job up. None of its waiting tasks starts any more. */
+  /** Fails the job unless it has ended. None of its waiting tasks is started afterwards. */
   void fail(String reason) {
     if (isOpen()) {
       outcome = Optional.of(new JobOutcome(OutcomeStatus.FAILED, reason, List.of()));
@@ -163,16 +164,16 @@
     return outcome;
   }
 
-  /** Returns the outcome the first time that there is one to commit. */
-  Optional<JobOutcome> takeUncommitted() {
-    if (outcome.isEmpty() || commitAsked || abandoned) {
+  /** Returns the outcome on the first call after the job has ended; otherwise empty. */
+  Optional<JobOutcome> pollOutcome() {
+    if (outcome.isEmpty() || commitRequested || abandoned) {
       return Optional.empty();
     }
-    commitAsked = true;
+    commitRequested = true;
     return outcome;
   }
 
-  void noteCommitted() {
+  void markCommitted() {
     committed = true;
   }
 
--- a/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
+++ b/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
@@ -30,21 +30,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Everything that an entry decides about work: which worker gets it, when to hold it back, and when
- * to give it up.
+ * Makes all decisions of an entry about work: which worker runs it, when it stays queued, and when
+ * it fails.
  *
- * <p>Each method takes one event in and returns the effects to carry out, in order. Times are
- * milliseconds of a clock that never goes back. Not thread-safe: the dispatch thread owns it.
+ * <p>Each event method handles one event and returns the effects to carry out, in order. Times are
+ * milliseconds of a monotonic clock. Not thread-safe: confined to the dispatch thread.
  */
 public final class Dispatcher {
   private static final long RETIRE_PERIOD_MS = 5_000;
 
-  /** An agent about to stop waits for this, so it hears sooner. */
+  /** Shorter than for other agents, because a draining agent can't stop before its jobs retire. */
   private static final long DRAINING_RETIRE_PERIOD_MS = 100;
 
   private static final long EJECTION_PERIOD_MS = 100;
 
-  /** How long a worker is left alone whose backend server took no connection. */
+  /** Time without new work for a worker whose backend server accepted no connection. */
   private static final long UNREACHABLE_PAUSE_MS = 500;
 
   private record Deadline(long atMs, boolean isJob, long id) {}
@@ -62,43 +62,52 @@
   private SettingsTree settings = SettingsTree.empty();
   private long leaseUntilMs = Long.MIN_VALUE;
   private long sequence;
-  private long retiredAtMs;
-  private long drainedAtMs;
-  private long ejectedAtMs;
-  private long latestMs;
+  private long retirementsSentAtMs;
+  private long drainingRetirementsSentAtMs;
+  private long ejectionCheckedAtMs;
+  private long messageAtMs;
 
   private Dispatcher(String zone, RandomGenerator random) {
     this.zone = zone;
     this.random = random;
   }
 
-  /** Creates a dispatcher without workers, settings or lease. */
+  /** Returns a new dispatcher without workers, settings or lease. */
   public static Dispatcher create(String zone, RandomGenerator random) {
     return new Dispatcher(zone, random);
   }
 
   // Events.
 
-  /** Takes the settings in force. */
+  /** Replaces the settings in force. */
   public List<DispatchEffect> onSettings(SettingsTree tree) {
     settings = tree;
     policies.clear();
     for (Worker<Work> worker : workers.values()) {
       if (worker.isReachable()) {
-        subscribe(worker);
+        updateSubscription(worker);
       }
     }
     return drainEffects();
   }
 
-  /** Takes a lease: until then work may start; jobs admitted before the floor are forgotten. */
+  /**
+   * Extends the lease, during which work may start, and drops the records of committed jobs that
+   * were admitted before the floor.
+   *
+   * @param untilMs the end of the lease
+   * @param floorMs the earliest time of admission that is still remembered, on the replicated clock
+   */
   public List<DispatchEffect> onLease(long untilMs, long floorMs, long nowMs) {
     leaseUntilMs = Math.max(leaseUntilMs, untilMs);
-    jobs.forgetBefore(floorMs);
-    return pump(nowMs);
+    jobs.removeAdmittedBefore(floorMs);
+    return dispatchWaiting(nowMs);
   }
 
-  /** Takes the registered agents. What an ended incarnation may have started is given up. */
+  /**
+   * Updates the registered agents. Fails the jobs with tasks that an ended incarnation may have
+   * started.
+   */
   public List<DispatchEffect> onMembers(List<AgentInfo> agents, long nowMs) {
     Set<String> present = new HashSet<>();
     for (AgentInfo info : agents) {
@@ -115,7 +124,7 @@
         removeWorker(workers.get(agentId));
       }
     }
-    return pump(nowMs);
+    return dispatchWaiting(nowMs);
   }
 
   private void addWorker(AgentInfo info) {
@@ -137,14 +146,14 @@
     boolean wasReachable = worker.isReachable();
     worker.update(info);
     if (worker.isReachable()) {
-      becomeReachable(worker, wasReachable);
+      onReachable(worker, wasReachable);
     }
   }
 
-  /** Fences and open grants wait for the moment at which the registered incarnation can hear. */
-  private void becomeReachable(Worker<Work> worker, boolean wasReachable) {
+  /** Subscribes to credits, and sends the pending fences and revocations, after a connection. */
+  private void onReachable(Worker<Work> worker, boolean wasReachable) {
     if (!wasReachable) {
-      subscribe(worker);
+      updateSubscription(worker);
       jobs.onReconnected(worker);
     }
   }
@@ -156,114 +165,125 @@
   }
 
   private void endIncarnation(Worker<Work> worker) {
-    List<Work> lost = worker.inFlight();
-    lost.forEach(work -> noteEnded(worker.agentId(), work));
-    jobs.onAgentEnded(worker.agentId(), lost);
-    requests.onAgentLost(worker.agentId(), lost);
+    List<Work> inFlight = worker.inFlight();
+    inFlight.forEach(work -> recordEnded(worker.agentId(), work));
+    jobs.onAgentEnded(worker.agentId(), inFlight);
+    requests.onAgentLost(worker.agentId(), inFlight);
   }
 
-  /** Takes an agent's status: the first message on a connection, or news on an open one. */
-  public List<DispatchEffect> onAgentStatus(AgentStatus status, boolean opens, long nowMs) {
+  /**
+   * Updates a worker from its agent's status.
+   *
+   * @param newConnection whether the status is the first message of its connection
+   */
+  public List<DispatchEffect> onAgentStatus(AgentStatus status, boolean newConnection, long nowMs) {
     Worker<Work> worker = workers.get(status.agentId());
     if (worker == null) {
       return List.of();
     }
-    boolean wasReachable = worker.isReachable() && !opens;
+    boolean wasReachable = worker.isReachable() && !newConnection;
     worker.onStatus(status.incarnation(), status.draining(), status.busyForOthers(), nowMs);
     if (worker.isReachable()) {
-      becomeReachable(worker, wasReachable);
+      onReachable(worker, wasReachable);
     }
-    return pump(nowMs);
+    return dispatchWaiting(nowMs);
   }
 
-  /** Notes a lost connection. Tasks stay granted; repeatable requests are tried elsewhere. */
+  /**
+   * Handles the loss of a connection. Tasks stay granted to the agent; repeatable requests are
+   * retried on other workers, within the retry budget.
+   */
   public List<DispatchEffect> onAgentDisconnected(String agentId, long nowMs) {
     Worker<Work> worker = workers.get(agentId);
     if (worker == null) {
       return List.of();
     }
     worker.onDisconnected();
-    List<Work> lost = worker.inFlight();
-    for (Work work : lost) {
+    List<Work> inFlight = worker.inFlight();
+    for (Work work : inFlight) {
       if (work instanceof RequestWork) {
-        noteEnded(agentId, work);
+        recordEnded(agentId, work);
       }
     }
-    requests.onAgentLost(agentId, lost);
-    return pump(nowMs);
+    requests.onAgentLost(agentId, inFlight);
+    return dispatchWaiting(nowMs);
   }
 
-  /** Takes a message from an agent. */
+  /** Handles a message from an agent. */
   public List<DispatchEffect> onAgentMessage(String agentId, Message message, long nowMs) {
     Worker<Work> worker = workers.get(agentId);
     if (worker == null) {
       return List.of();
     }
-    latestMs = nowMs;
+    messageAtMs = nowMs;
     switch (message) {
       case AgentStatus status -> effects.addAll(onAgentStatus(status, false, nowMs));
       case TaskFinished finished -> {
         jobs.onFinished(agentId, finished);
-        noteAnswer(worker, finished.busyForOthers(), finished.credits(), nowMs);
+        updateLoad(worker, finished.busyForOthers(), finished.credits(), nowMs);
       }
       case TaskNotStarted notStarted -> {
         jobs.onNotStarted(agentId, notStarted);
-        noteAnswer(worker, notStarted.busyForOthers(), notStarted.credits(), nowMs);
-        noteReason(worker, notStarted.reason(), nowMs);
+        updateLoad(worker, notStarted.busyForOthers(), notStarted.credits(), nowMs);
+        handleRefusal(worker, notStarted.reason(), nowMs);
       }
       case TaskRunning running -> {}
       case FenceReport report -> jobs.onFenceReport(worker, report);
       case RunResponse response -> {
         requests.onResponse(agentId, response);
-        noteAnswer(worker, response.busyForOthers(), response.credits(), nowMs);
+        updateLoad(worker, response.busyForOthers(), response.credits(), nowMs);
       }
       case RunRefused refused -> {
         requests.onRefused(agentId, refused);
-        noteAnswer(worker, refused.busyForOthers(), refused.credits(), nowMs);
-        noteReason(worker, refused.reason(), nowMs);
+        updateLoad(worker, refused.busyForOthers(), refused.credits(), nowMs);
+        handleRefusal(worker, refused.reason(), nowMs);
       }
       case CreditGrant grant -> worker.addCredits(grant.credits());
       case CreditRecall recall -> returnCredits(worker, recall.credits());
-      default -> throw new IllegalArgumentException("not a message from an agent: " + message);
+      default -> throw new IllegalArgumentException("unexpected message from an agent: " + message);
     }
-    return pump(nowMs);
+    return dispatchWaiting(nowMs);
   }
 
-  private static void noteAnswer(Worker<Work> worker, int busy, int credits, long nowMs) {
-    worker.recordBusyForOthers(busy, nowMs);
+  private static void updateLoad(Worker<Work> worker, int busyForOthers, int credits, long nowMs) {
+    worker.recordBusyForOthers(busyForOthers, nowMs);
     worker.addCredits(credits);
   }
 
-  private void noteReason(Worker<Work> worker, NotStartedReason reason, long nowMs) {
+  private void handleRefusal(Worker<Work> worker, NotStartedReason reason, long nowMs) {
     switch (reason) {
       case DRAINING, NO_LEASE, WRONG_INCARNATION -> worker.recordRefusal();
       case BACKEND_UNREACHABLE -> worker.eject(nowMs + UNREACHABLE_PAUSE_MS);
-      case SLOTS_FULL -> pool(worker.info().service()).backoff().noteRefusal(nowMs);
+      case SLOTS_FULL -> pool(worker.info().service()).backoff().recordRefusal(nowMs);
       case STALE_EPOCH, REVOKED, RETIRED -> {}
     }
   }
 
-  private void returnCredits(Worker<Work> worker, int asked) {
+  private void returnCredits(Worker<Work> worker, int requested) {
     int spare = pool(worker.info().service()).spareCredits();
-    int returned = worker.removeCredits(Math.min(asked, spare));
+    int returned = worker.removeCredits(Math.min(requested, spare));
     effects.add(new DispatchEffect.Send(worker.agentId(), new CreditReturn(returned)));
   }
 
-  /** Takes a job that this entry admitted. */
+  /** Starts dispatching a job that this entry admitted. */
   public List<DispatchEffect> onAdmitted(JobSpec spec, long nowMs) {
     addDeadline(new Deadline(spec.deadlineMs(), true, spec.jobId()));
-    jobs.admit(spec, takeSequences(spec));
-    return pump(nowMs);
+    jobs.admit(spec, allocateSequences(spec));
+    return dispatchWaiting(nowMs);
   }
 
-  /** Takes over a job from an entry that has ended. */
+  /**
+   * Takes over a job from an entry that has ended.
+   *
+   * @param lostAgents the agents whose record of the job's tasks is lost
+   */
   public List<DispatchEffect> onAdopted(JobSpec spec, List<String> lostAgents, long nowMs) {
     addDeadline(new Deadline(spec.deadlineMs(), true, spec.jobId()));
-    jobs.adopt(spec, takeSequences(spec), lostAgents);
-    return pump(nowMs);
+    jobs.adopt(spec, allocateSequences(spec), lostAgents);
+    return dispatchWaiting(nowMs);
   }
 
-  private long takeSequences(JobSpec spec) {
+  private long allocateSequences(JobSpec spec) {
     long first = sequence;
     sequence += spec.payloads().size();
     return first;
@@ -273,33 +293,33 @@
     deadlines.add(deadline);
   }
 
-  /** Takes a repeatable request, after {@link #refusalOf} let it pass. */
+  /** Starts dispatching a repeatable request that {@link #refusalOf} did not refuse. */
   public List<DispatchEffect> onRequest(RequestSpec spec, long nowMs) {
     addDeadline(new Deadline(spec.deadlineMs(), false, spec.requestId()));
     requests.accept(spec, sequence++);
-    return pump(nowMs);
+    return dispatchWaiting(nowMs);
   }
 
-  /** Notes that a job's outcome is committed. */
+  /** Handles the commit of a job's outcome. */
   public List<DispatchEffect> onOutcomeCommitted(long jobId) {
     jobs.onCommitted(jobId);
     return drainEffects();
   }
 
-  /** Notes that another entry owns a job now. */
+  /** Stops work on a job that another entry owns now. */
   public List<DispatchEffect> onOutcomeStale(long jobId) {
     jobs.onStale(jobId);
     return drainEffects();
   }
 
-  /** Leaves every job to others, because this entry's incarnation has ended. */
+  /** Leaves every job to other entries, because this entry's incarnation has ended. */
   public List<DispatchEffect> onIncarnationEnded() {
     leaseUntilMs = Long.MIN_VALUE;
     jobs.abandonAll();
     return drainEffects();
   }
 
-  /** Gives up what is past its deadline and does what is due. */
+  /** Fails the work whose deadline has passed, and performs the periodic duties that are due. */
   public List<DispatchEffect> onTick(long nowMs) {
     while (!deadlines.isEmpty() && deadlines.peek().atMs() <= nowMs) {
       Deadline due = deadlines.remove();
@@ -310,19 +330,19 @@
       }
     }
     requests.onTick(nowMs);
-    if (nowMs - retiredAtMs >= RETIRE_PERIOD_MS) {
-      retiredAtMs = nowMs;
-      jobs.flushRetired(agentId -> true);
+    if (nowMs - retirementsSentAtMs >= RETIRE_PERIOD_MS) {
+      retirementsSentAtMs = nowMs;
+      jobs.sendRetirements(agentId -> true);
     }
-    if (nowMs - drainedAtMs >= DRAINING_RETIRE_PERIOD_MS) {
-      drainedAtMs = nowMs;
-      jobs.flushRetired(this::isDraining);
+    if (nowMs - drainingRetirementsSentAtMs >= DRAINING_RETIRE_PERIOD_MS) {
+      drainingRetirementsSentAtMs = nowMs;
+      jobs.sendRetirements(this::isDraining);
     }
-    if (nowMs - ejectedAtMs >= EJECTION_PERIOD_MS) {
-      ejectedAtMs = nowMs;
+    if (nowMs - ejectionCheckedAtMs >= EJECTION_PERIOD_MS) {
+      ejectionCheckedAtMs = nowMs;
       ejectSlowWorkers(nowMs);
     }
-    return pump(nowMs);
+    return dispatchWaiting(nowMs);
   }
 
   private boolean isDraining(String agentId) {
@@ -342,27 +362,27 @@
   // Admission.
 
   /**
-   * Returns why work can't be taken now; empty where it can.
+   * Returns why work can't be admitted now; empty if it can.
    *
    * @param tasks the number of tasks
-   * @param deadlineMs when the work is given up
+   * @param deadlineMs when the work fails unless it has ended
    */
   public Optional<RequestOutcome.Refused> refusalOf(
       String service, String jobClass, int tasks, long deadlineMs, long nowMs) {
     if (nowMs >= leaseUntilMs) {
       return AdmissionChecks.refused(
-          RefusalCause.NO_LEASE, "this entry has no fresh lease", AdmissionChecks.RETRY_SOON_MS);
+          RefusalCause.NO_LEASE, "this entry has no valid lease", AdmissionChecks.RETRY_SOON_MS);
     }
     ServicePolicy policy = policyAt(SettingsPath.of(service, jobClass, zone));
     return AdmissionChecks.refusalOf(pool(service), policy, tasks, deadlineMs, nowMs);
   }
 
-  /** Counts the tasks of a submission as waiting while its admission is committed. */
+  /** Counts the tasks of a submission as waiting until its admission is committed. */
   public void reserve(String service, int tasks) {
     pool(service).reserve(tasks);
   }
 
-  /** Ends a {@link #reserve}. */
+  /** Ends the reservation that {@link #reserve} made. */
   public void release(String service, int tasks) {
     pool(service).release(tasks);
   }
@@ -371,7 +391,7 @@
     return AdmissionChecks.retryAfterMs(pool(service));
   }
 
-  // Shared with jobs and requests.
+  // For JobDispatch and RequestDispatch.
 
   ServicePool pool(String service) {
     return pools.computeIfAbsent(service, name -> new ServicePool(random));
@@ -382,35 +402,35 @@
     pool(work.service()).queue().add(work, policy.teamWeight(), policy.teamSlots());
   }
 
-  void noteEnded(String agentId, Work work) {
+  void recordEnded(String agentId, Work work) {
     Worker<Work> worker = workers.get(agentId);
     if (worker != null && worker.recordEnded(work)) {
-      pool(work.service()).queue().noteEnded(work.team());
+      pool(work.service()).queue().recordEnded(work.team());
     }
   }
 
-  /** Frees the slot of a request that ended before this answer, such as a lost hedge. */
-  void noteRequestEnded(String agentId, long requestId) {
+  /** Frees the slot of a request that ended before this response, such as the slower hedge. */
+  void releaseRequestSlot(String agentId, long requestId) {
     Worker<Work> worker = workers.get(agentId);
     if (worker == null) {
       return;
     }
     for (Work work : worker.inFlight()) {
       if (work instanceof RequestWork request && request.spec().requestId() == requestId) {
-        noteEnded(agentId, work);
+        recordEnded(agentId, work);
       }
     }
   }
 
-  void noteAdopted(Worker<Work> worker, TaskWork task) {
-    worker.recordAdopted(task, latestMs);
-    pool(task.service()).queue().noteAdopted(task.team());
+  void recordAdopted(Worker<Work> worker, TaskWork task) {
+    worker.recordAdopted(task, messageAtMs);
+    pool(task.service()).queue().recordAdopted(task.team());
   }
 
-  void noteServiceTime(String agentId, Work work, long micros) {
+  void recordServiceTime(String agentId, Work work, long micros) {
     Worker<Work> worker = workers.get(agentId);
     if (worker != null) {
-      pool(work.service()).noteServiceTime(worker, micros);
+      pool(work.service()).recordServiceTime(worker, micros);
     }
   }
 
@@ -426,21 +446,22 @@
     return new SettingsPath(List.of(service));
   }
 
-  private boolean placesByCredit(String service) {
+  private boolean usesSlotCredits(String service) {
     return policyAt(servicePath(service)).placement().equals("slotCredits");
   }
 
-  private void subscribe(Worker<Work> worker) {
+  private void updateSubscription(Worker<Work> worker) {
     String service = worker.info().service();
-    pool(service).subscribe(worker, placesByCredit(service), effects::add);
+    pool(service).updateSubscription(worker, usesSlotCredits(service), effects::add);
   }
 
-  private List<DispatchEffect> pump(long nowMs) {
+  private List<DispatchEffect> dispatchWaiting(long nowMs) {
     if (nowMs < leaseUntilMs) {
       pools.forEach(
           (service, pool) -> {
-            pool.pump(this::policyOf, (work, worker) -> start(work, worker, nowMs), nowMs);
-            pool.tellDemand(placesByCredit(service), effects::add, nowMs);
+            pool.dispatchWaiting(
+                this::policyOf, (work, worker) -> start(work, worker, nowMs), nowMs);
+            pool.sendDemandChanges(usesSlotCredits(service), effects::add, nowMs);
           });
     }
     return drainEffects();
@@ -459,14 +480,14 @@
     return taken;
   }
 
-  // What others may see.
+  // Lease and status.
 
-  /** Drops the lease: this box may have slept, and the lease may be over. */
+  /** Drops the lease, which may have expired while this box was suspended. */
   public void dropLease() {
     leaseUntilMs = Long.MIN_VALUE;
   }
 
-  /** Returns whether a lease is fresh. */
+  /** Returns whether this entry has a valid lease. */
   public boolean hasLease(long nowMs) {
     return nowMs < leaseUntilMs;
   }
@@ -476,17 +497,20 @@
     return jobs.ownedJobIds();
   }
 
-  /** Returns the number of finished tasks of a job that this entry owns; empty for others. */
+  /** Returns the number of finished tasks of a job; empty if this entry does not own it. */
   public Optional<Integer> finishedTasks(long jobId) {
-    return jobs.find(jobId).map(JobRun::finishedCount);
+    return jobs.find(jobId).map(ActiveJob::finishedCount);
   }
 
-  /** Returns whether nothing that this entry took is without its end. */
+  /**
+   * Returns whether every request has ended and the outcome of every job is committed or left to
+   * another entry.
+   */
   public boolean isSettled() {
     return jobs.isSettled() && requests.openCount() == 0;
   }
 
-  /** Returns the number of jobs and requests without an end. */
+  /** Returns the number of jobs and requests that have not ended. */
   public int openCount() {
     return jobs.openCount() + requests.openCount();
   }
@@ -501,8 +525,8 @@
     return pools.values().stream().mapToInt(ServicePool::inFlightCount).sum();
   }
 
-  /** Returns the number of workers that take work from this entry. */
+  /** Returns the number of workers that accept work from this entry. */
   public int usableWorkers(long nowMs) {
-    return (int) workers.values().stream().filter(worker -> worker.takesWork(nowMs)).count();
+    return (int) workers.values().stream().filter(worker -> worker.acceptsWork(nowMs)).count();
   }
 }
--- a/core/src/main/java/io/hingehoist/dispatch/JobDispatch.java
+++ b/core/src/main/java/io/hingehoist/dispatch/JobDispatch.java
@@ -21,18 +21,18 @@
 import java.util.function.Predicate;
 
 /**
- * The jobs that this entry owns.
+ * Dispatches the jobs that this entry owns.
  *
- * <p>A task is granted to another agent only after the one before said that it was not started.
- * Where an agent's knowledge is lost, a task that it may have started fails its job. Owned by its
- * {@link Dispatcher}.
+ * <p>A task is granted to another agent only after the previous one has reported that it did not
+ * start it. If an agent's record of started tasks is lost, every job with a task that the agent may
+ * have started fails. Not thread-safe: confined to the dispatch thread.
  */
 final class JobDispatch {
   private final Dispatcher dispatcher;
   private final Consumer<DispatchEffect> effects;
-  private final Map<Long, JobRun> runs = new LinkedHashMap<>();
-  private final Map<Long, Long> endedJobs = new LinkedHashMap<>();
-  private final Map<String, List<Long>> toRetire = new HashMap<>();
+  private final Map<Long, ActiveJob> activeJobs = new LinkedHashMap<>();
+  private final Map<Long, Long> committedJobs = new LinkedHashMap<>();
+  private final Map<String, List<Long>> unsentRetirements = new HashMap<>();
 
   JobDispatch(Dispatcher dispatcher, Consumer<DispatchEffect> effects) {
     this.dispatcher = dispatcher;
@@ -40,71 +40,76 @@
   }
 
   int openCount() {
-    return (int) runs.values().stream().filter(JobRun::isOpen).count();
+    return (int) activeJobs.values().stream().filter(ActiveJob::isOpen).count();
   }
 
-  Optional<JobRun> find(long jobId) {
-    return Optional.ofNullable(runs.get(jobId));
+  Optional<ActiveJob> find(long jobId) {
+    return Optional.ofNullable(activeJobs.get(jobId));
   }
 
-  /** Returns the jobs that are open or whose outcome is not committed yet. */
+  /**
+   * Returns the ids of the jobs that are open, not yet committed, or still have tasks in flight.
+   */
   List<Long> ownedJobIds() {
-    return runs.values().stream()
-        .filter(run -> !run.isAbandoned())
-        .map(run -> run.spec().jobId())
+    return activeJobs.values().stream()
+        .filter(job -> !job.isAbandoned())
+        .map(job -> job.spec().jobId())
         .toList();
   }
 
-  /** Takes a job that was just admitted. A repeated answer to its admission changes nothing. */
+  /** Enqueues the tasks of a newly admitted job. Ignores a job whose admission is known. */
   void admit(JobSpec spec, long firstSequence) {
-    if (runs.containsKey(spec.jobId()) || endedJobs.containsKey(spec.jobId())) {
+    if (activeJobs.containsKey(spec.jobId()) || committedJobs.containsKey(spec.jobId())) {
       return;
     }
-    JobRun run = JobRun.fresh(spec, firstSequence);
-    runs.put(spec.jobId(), run);
-    run.tasks().forEach(dispatcher::enqueue);
+    ActiveJob job = ActiveJob.ofAdmitted(spec, firstSequence);
+    activeJobs.put(spec.jobId(), job);
+    job.tasks().forEach(dispatcher::enqueue);
   }
 
-  /** Takes over a job from an entry that has ended, and shuts that entry out at every agent. */
+  /**
+   * Takes over a job from an entry that has ended. Fences the job at every agent, so that none of
+   * them starts a task for the previous owner.
+   */
   void adopt(JobSpec spec, long firstSequence, List<String> lostAgents) {
-    JobRun before = runs.get(spec.jobId());
-    if (before != null && before.spec().epoch() >= spec.epoch() && !before.isAbandoned()) {
+    ActiveJob previous = activeJobs.get(spec.jobId());
+    if (previous != null && previous.spec().epoch() >= spec.epoch() && !previous.isAbandoned()) {
       return;
     }
-    if (before != null) {
-      releaseGrants(before);
+    if (previous != null) {
+      releaseGrants(previous);
     }
     Map<String, Worker<Work>> workers = dispatcher.pool(spec.service()).workers();
-    JobRun run = JobRun.adopted(spec, firstSequence, workers.keySet(), lostAgents);
-    runs.put(spec.jobId(), run);
+    ActiveJob job = ActiveJob.ofAdopted(spec, firstSequence, workers.keySet(), lostAgents);
+    activeJobs.put(spec.jobId(), job);
     for (Worker<Work> worker : workers.values()) {
-      run.noteAgent(worker.agentId());
+      job.addAgent(worker.agentId());
       if (worker.isReachable()) {
-        fence(run, worker.agentId());
+        sendFence(job, worker.agentId());
       }
     }
-    concludeFencing(run);
+    finishFencing(job);
   }
 
-  private void releaseGrants(JobRun run) {
-    for (TaskWork task : run.tasks()) {
+  private void releaseGrants(ActiveJob job) {
+    for (TaskWork task : job.tasks()) {
       if (task.stage() == TaskWork.Stage.GRANTED) {
-        dispatcher.noteEnded(task.agentId(), task);
+        dispatcher.recordEnded(task.agentId(), task);
       }
     }
   }
 
-  private void fence(JobRun run, String agentId) {
-    JobSpec spec = run.spec();
-    FenceJob fence = new FenceJob(spec.jobId(), spec.epoch(), spec.admittedAtMs());
-    effects.accept(new DispatchEffect.Send(agentId, fence));
+  private void sendFence(ActiveJob job, String agentId) {
+    JobSpec spec = job.spec();
+    FenceJob message = new FenceJob(spec.jobId(), spec.epoch(), spec.admittedAtMs());
+    effects.accept(new DispatchEffect.Send(agentId, message));
   }
 
   /** Sends a task to a worker. */
   void start(TaskWork task, Worker<Work> worker) {
     JobSpec spec = task.job().spec();
-    task.grant(worker.agentId());
-    task.job().noteAgent(worker.agentId());
+    task.markGranted(worker.agentId());
+    task.job().addAgent(worker.agentId());
     long timeoutMs = dispatcher.policyOf(task).taskTimeoutMs();
     effects.accept(
         new DispatchEffect.Send(
@@ -120,7 +125,10 @@
                 spec.payloads().get(task.index()))));
   }
 
-  /** Asks after every grant that a lost connection has left open. */
+  /**
+   * Revokes every grant that was in flight when the connection was lost, to learn whether its task
+   * was started, and resends the fences that have no report yet.
+   */
   void onReconnected(Worker<Work> worker) {
     for (Work work : worker.inFlight()) {
       if (work instanceof TaskWork task) {
@@ -131,15 +139,15 @@
         effects.accept(new DispatchEffect.Send(worker.agentId(), revoke));
       }
     }
-    for (JobRun run : runs.values()) {
-      if (run.awaitsFence(worker.agentId())) {
-        fence(run, worker.agentId());
+    for (ActiveJob job : activeJobs.values()) {
+      if (job.awaitsFence(worker.agentId())) {
+        sendFence(job, worker.agentId());
       }
     }
   }
 
   void onNotStarted(String agentId, TaskNotStarted message) {
-    TaskWork task = granted(agentId, message.jobId(), message.taskIndex());
+    TaskWork task = findGranted(agentId, message.jobId(), message.taskIndex());
     boolean current =
         task != null
             && task.grantNumber() == message.grantNumber()
@@ -147,188 +155,191 @@
     if (!current) {
       return;
     }
-    dispatcher.noteEnded(agentId, task);
-    task.await();
-    forgetIfSettled(task.job());
+    dispatcher.recordEnded(agentId, task);
+    task.markWaiting();
+    removeIfSettled(task.job());
     if (task.job().isOpen()) {
       dispatcher.enqueue(task);
     }
   }
 
   void onFinished(String agentId, TaskFinished message) {
-    TaskWork task = granted(agentId, message.jobId(), message.taskIndex());
+    TaskWork task = findGranted(agentId, message.jobId(), message.taskIndex());
     if (task == null) {
       return;
     }
-    dispatcher.noteEnded(agentId, task);
+    dispatcher.recordEnded(agentId, task);
     if (message.ranMicros() > 0) {
-      dispatcher.noteServiceTime(agentId, task, message.ranMicros());
+      dispatcher.recordServiceTime(agentId, task, message.ranMicros());
     }
-    takeEnd(task, message.state(), message.result());
+    recordTaskEnd(task, message.state(), message.result());
   }
 
-  private void takeEnd(TaskWork task, TaskState state, String result) {
-    JobRun run = task.job();
+  private void recordTaskEnd(TaskWork task, TaskState state, String result) {
+    ActiveJob job = task.job();
     if (state == TaskState.SUCCEEDED) {
-      run.finishTask(task, result);
+      job.recordTaskResult(task, result);
     } else {
-      run.failTask(task, result);
+      job.recordTaskFailure(task, result);
     }
-    commitIfEnded(run);
-    forgetIfSettled(run);
+    commitIfEnded(job);
+    removeIfSettled(job);
   }
 
-  private TaskWork granted(String agentId, long jobId, int index) {
-    JobRun run = runs.get(jobId);
-    if (run == null || !run.hasTask(index)) {
+  private TaskWork findGranted(String agentId, long jobId, int index) {
+    ActiveJob job = activeJobs.get(jobId);
+    if (job == null || !job.hasTask(index)) {
       return null;
     }
-    TaskWork task = run.task(index);
-    boolean here = task.stage() == TaskWork.Stage.GRANTED && task.agentId().equals(agentId);
-    return here ? task : null;
+    TaskWork task = job.task(index);
+    boolean grantedHere = task.stage() == TaskWork.Stage.GRANTED && task.agentId().equals(agentId);
+    return grantedHere ? task : null;
   }
 
   void onFenceReport(Worker<Work> worker, FenceReport report) {
-    JobRun run = runs.get(report.jobId());
+    ActiveJob job = activeJobs.get(report.jobId());
     boolean awaited =
-        run != null
-            && run.spec().epoch() == report.epoch()
-            && run.awaitsFence(worker.agentId())
+        job != null
+            && job.spec().epoch() == report.epoch()
+            && job.awaitsFence(worker.agentId())
             && report.agentIncarnation() == worker.info().incarnation();
     if (!awaited) {
       return;
     }
-    run.fenceAnswered(worker.agentId());
+    job.recordFenceReport(worker.agentId());
     for (TaskReport task : report.tasks()) {
-      if (run.hasTask(task.taskIndex())) {
-        takeReport(run.task(task.taskIndex()), worker, task);
+      if (job.hasTask(task.taskIndex())) {
+        applyReport(job.task(task.taskIndex()), worker, task);
       }
     }
-    concludeFencing(run);
+    finishFencing(job);
   }
 
-  private void takeReport(TaskWork task, Worker<Work> worker, TaskReport report) {
+  private void applyReport(TaskWork task, Worker<Work> worker, TaskReport report) {
     if (report.state() == TaskState.RUNNING) {
-      task.grant(worker.agentId());
-      dispatcher.noteAdopted(worker, task);
+      task.markGranted(worker.agentId());
+      dispatcher.recordAdopted(worker, task);
       return;
     }
-    takeEnd(task, report.state(), report.result());
+    recordTaskEnd(task, report.state(), report.result());
   }
 
-  /** Once every agent has reported: starts what never started, or fails what may have. */
-  private void concludeFencing(JobRun run) {
-    if (run.isFencing() || !run.isOpen()) {
+  /**
+   * Once every agent has reported or ended, enqueues the tasks that no agent has started. Fails the
+   * job instead if an ended agent may have started one of them.
+   */
+  private void finishFencing(ActiveJob job) {
+    if (job.isFencing() || !job.isOpen()) {
       return;
     }
-    for (TaskWork task : run.tasks()) {
+    for (TaskWork task : job.tasks()) {
       if (task.stage() != TaskWork.Stage.FENCED) {
         continue;
       }
-      if (!run.lostAgents().isEmpty()) {
-        run.fail(
+      if (!job.lostAgents().isEmpty()) {
+        job.fail(
             "task %d may have run on an agent that ended: %s"
-                .formatted(task.index(), String.join(", ", run.lostAgents())));
+                .formatted(task.index(), String.join(", ", job.lostAgents())));
         break;
       }
-      task.await();
+      task.markWaiting();
       dispatcher.enqueue(task);
     }
-    commitIfEnded(run);
+    commitIfEnded(job);
   }
 
-  /** Gives up what an ended incarnation of an agent may have started. */
+  /** Fails the jobs with tasks that an ended incarnation of an agent may have started. */
   void onAgentEnded(String agentId, List<Work> inFlight) {
     for (Work work : inFlight) {
       if (work instanceof TaskWork task) {
-        task.await();
+        task.markWaiting();
         task.job()
             .fail("task %d may have run on agent %s, which ended".formatted(task.index(), agentId));
         commitIfEnded(task.job());
-        forgetIfSettled(task.job());
+        removeIfSettled(task.job());
       }
     }
-    for (JobRun run : List.copyOf(runs.values())) {
-      if (run.awaitsFence(agentId)) {
-        run.fenceLost(agentId);
-        concludeFencing(run);
+    for (ActiveJob job : List.copyOf(activeJobs.values())) {
+      if (job.awaitsFence(agentId)) {
+        job.recordFenceLost(agentId);
+        finishFencing(job);
       }
     }
   }
 
   void onDeadline(long jobId) {
-    JobRun run = runs.get(jobId);
-    if (run != null && run.isOpen()) {
-      run.fail(
+    ActiveJob job = activeJobs.get(jobId);
+    if (job != null && job.isOpen()) {
+      job.fail(
           "the deadline passed with %d of %d tasks finished"
-              .formatted(run.finishedCount(), run.tasks().size()));
-      commitIfEnded(run);
+              .formatted(job.finishedCount(), job.tasks().size()));
+      commitIfEnded(job);
     }
   }
 
-  private void commitIfEnded(JobRun run) {
-    Optional<JobOutcome> outcome = run.takeUncommitted();
+  private void commitIfEnded(ActiveJob job) {
+    Optional<JobOutcome> outcome = job.pollOutcome();
     outcome.ifPresent(
         value ->
             effects.accept(
-                new DispatchEffect.CommitOutcome(run.spec().jobId(), run.spec().epoch(), value)));
+                new DispatchEffect.CommitOutcome(job.spec().jobId(), job.spec().epoch(), value)));
   }
 
-  /** Notes that the outcome stands in the log: agents may drop the results. */
+  /** Handles the commit of a job's outcome, after which agents may drop the results. */
   void onCommitted(long jobId) {
-    JobRun run = runs.get(jobId);
-    if (run == null) {
+    ActiveJob job = activeJobs.get(jobId);
+    if (job == null) {
       return;
     }
-    run.noteCommitted();
-    endedJobs.put(jobId, run.spec().admittedAtMs());
-    for (String agentId : run.agentIds()) {
-      toRetire.computeIfAbsent(agentId, id -> new ArrayList<>()).add(jobId);
+    job.markCommitted();
+    committedJobs.put(jobId, job.spec().admittedAtMs());
+    for (String agentId : job.agentIds()) {
+      unsentRetirements.computeIfAbsent(agentId, id -> new ArrayList<>()).add(jobId);
     }
-    forgetIfSettled(run);
+    removeIfSettled(job);
   }
 
-  /** Notes that another entry owns the job now. */
+  /** Stops work on a job that another entry owns now. */
   void onStale(long jobId) {
-    JobRun run = runs.get(jobId);
-    if (run != null) {
-      run.abandon();
-      forgetIfSettled(run);
+    ActiveJob job = activeJobs.get(jobId);
+    if (job != null) {
+      job.abandon();
+      removeIfSettled(job);
     }
   }
 
   /** Leaves every job to its next owner, because this entry's incarnation has ended. */
   void abandonAll() {
-    for (JobRun run : List.copyOf(runs.values())) {
-      run.abandon();
-      forgetIfSettled(run);
+    for (ActiveJob job : List.copyOf(activeJobs.values())) {
+      job.abandon();
+      removeIfSettled(job);
     }
   }
 
-  private void forgetIfSettled(JobRun run) {
-    boolean over = run.isAbandoned() || run.isCommitted();
-    if (over && !run.hasGrants()) {
-      runs.remove(run.spec().jobId(), run);
+  private void removeIfSettled(ActiveJob job) {
+    boolean settled = job.isAbandoned() || job.isCommitted();
+    if (settled && !job.hasGrants()) {
+      activeJobs.remove(job.spec().jobId(), job);
     }
   }
 
-  /** Sends the retired jobs collected since the last call to some agents, one message each. */
-  void flushRetired(Predicate<String> agentIds) {
-    for (String agentId : List.copyOf(toRetire.keySet())) {
+  /** Sends each matching agent the jobs that were retired since its last message. */
+  void sendRetirements(Predicate<String> agentIds) {
+    for (String agentId : List.copyOf(unsentRetirements.keySet())) {
       if (agentIds.test(agentId)) {
-        RetireJobs retire = new RetireJobs(toRetire.remove(agentId));
+        RetireJobs retire = new RetireJobs(unsentRetirements.remove(agentId));
         effects.accept(new DispatchEffect.Send(agentId, retire));
       }
     }
   }
 
-  /** Forgets the ended jobs that are too old to be admitted again. */
-  void forgetBefore(long floorMs) {
-    endedJobs.values().removeIf(admittedAtMs -> admittedAtMs < floorMs);
+  /** Removes the committed jobs that are too old to be admitted again. */
+  void removeAdmittedBefore(long floorMs) {
+    committedJobs.values().removeIf(admittedAtMs -> admittedAtMs < floorMs);
   }
 
-  /** Returns whether every job has its outcome committed, or is left to another entry. */
+  /** Returns whether the outcome of every job is committed or left to another entry. */
   boolean isSettled() {
-    return runs.values().stream().allMatch(run -> run.isAbandoned() || run.isCommitted());
+    return activeJobs.values().stream().allMatch(job -> job.isAbandoned() || job.isCommitted());
   }
 }
--- a/core/src/main/java/io/hingehoist/dispatch/JobSpec.java
+++ b/core/src/main/java/io/hingehoist/dispatch/JobSpec.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A job as its owner dispatches it. Times are of the replicated clock, except the deadline.
+ * Describes a job to the dispatcher of the entry that owns it.
  *
- * @param jobId the number that its admission got
- * @param epoch the epoch under which this entry owns it
- * @param admittedAtMs when it was admitted
- * @param deadlineMs when it is given up, on the dispatcher's clock
+ * @param jobId the number assigned at admission
+ * @param epoch the epoch under which this entry owns the job
+ * @param admittedAtMs when the job was admitted, on the replicated clock
+ * @param deadlineMs when the job fails unless it has ended, on the dispatcher's clock
  */
 public record JobSpec(
     long jobId,
@@ -20,11 +20,11 @@
     long deadlineMs,
     List<String> payloads) {
 
-  /** Copies the payloads. */
+  /** Copies the payloads, of which there must be at least one. */
   public JobSpec {
     payloads = List.copyOf(payloads);
     if (payloads.isEmpty()) {
-      throw new IllegalArgumentException("job " + jobId + " has no task");
+      throw new IllegalArgumentException("job " + jobId + ": payloads must not be empty");
     }
   }
 }
--- a/core/src/main/java/io/hingehoist/dispatch/RefusalCause.java
+++ b/core/src/main/java/io/hingehoist/dispatch/RefusalCause.java
@@ -1,17 +1,17 @@
 package io.hingehoist.dispatch;
 
-/** Why an entry does not take work. */
+/** The reason why an entry does not accept work. */
 public enum RefusalCause {
-  /** The entry has no fresh lease, so its settings may be old. */
+  /** The entry has no valid lease, so its settings may be outdated. */
   NO_LEASE,
-  /** The entry is about to stop. */
+  /** The entry is shutting down. */
   STOPPING,
-  /** Settings have the service, job class or place disabled. */
+  /** The settings disable the service, job class or zone. */
   DISABLED,
-  /** No worker of the service takes work. */
+  /** No worker of the service accepts work. */
   NO_WORKERS,
   /** The queue of the service is full. */
   QUEUE_FULL,
-  /** The deadline can't be met with the work that waits already. */
+  /** The deadline can't be met, given the work that is already queued. */
   DEADLINE
 }
--- a/core/src/main/java/io/hingehoist/dispatch/RequestDispatch.java
+++ b/core/src/main/java/io/hingehoist/dispatch/RequestDispatch.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * The repeatable requests of this entry. They may run more than once, within a retry budget; no
- * record of them is kept. Owned by its {@link Dispatcher}.
+ * Dispatches the repeatable requests of this entry. They may run more than once, within a retry
+ * budget, and no record of them is kept. Not thread-safe: confined to the dispatch thread.
  */
 final class RequestDispatch {
   private record Hedge(long atMs, long requestId) {}
@@ -45,14 +45,14 @@
   /** Sends a request to a worker. */
   void start(RequestWork work, Worker<Work> worker, long nowMs) {
     ServicePolicy policy = dispatcher.policyOf(work);
-    boolean firstTry = !work.mayHaveRun();
-    work.sentTo(worker.agentId());
+    boolean firstAttempt = !work.mayHaveRun();
+    work.recordSent(worker.agentId());
     long timeoutMs = Math.max(1, Math.min(policy.taskTimeoutMs(), work.deadlineMs() - nowMs));
     RequestSpec spec = work.spec();
     RunRequest run = new RunRequest(spec.requestId(), timeoutMs, spec.payload());
     effects.accept(new DispatchEffect.Send(worker.agentId(), run));
-    if (firstTry) {
-      budget(work).noteFirstTry(policy.retryBudgetPercent());
+    if (firstAttempt) {
+      budget(work).recordFirstAttempt(policy.retryBudgetPercent());
     }
     if (policy.hedgeAfterMs() > 0 && !work.isHedged()) {
       hedges.add(new Hedge(nowMs + policy.hedgeAfterMs(), spec.requestId()));
@@ -63,20 +63,21 @@
     return budgets.computeIfAbsent(work.service(), service -> new RetryBudget());
   }
 
-  private boolean mayRetry(RequestWork work) {
-    return budget(work).takeRetry(dispatcher.policyOf(work).retryBudgetPercent());
+  private boolean tryAcquireRetry(RequestWork work) {
+    return budget(work).tryAcquireRetry(dispatcher.policyOf(work).retryBudgetPercent());
   }
 
   void onRefused(String agentId, RunRefused message) {
     RequestWork work = requests.get(message.requestId());
     if (work == null) {
-      dispatcher.noteRequestEnded(agentId, message.requestId());
+      dispatcher.releaseRequestSlot(agentId, message.requestId());
       return;
     }
-    dispatcher.noteEnded(agentId, work);
-    // A refusal is certain, so trying elsewhere costs the backend servers nothing.
-    if (work.notRunBy(agentId) && work.isOpen()) {
-      work.await();
+    dispatcher.recordEnded(agentId, work);
+    // The request certainly did not run, so another attempt causes no extra load on the backend
+    // servers and is not charged to the retry budget.
+    if (work.recordNotRun(agentId) && work.isOpen()) {
+      work.markWaiting();
       dispatcher.enqueue(work);
     }
   }
@@ -84,47 +85,47 @@
   void onResponse(String agentId, RunResponse message) {
     RequestWork work = requests.get(message.requestId());
     if (work == null) {
-      dispatcher.noteRequestEnded(agentId, message.requestId());
+      dispatcher.releaseRequestSlot(agentId, message.requestId());
       return;
     }
-    dispatcher.noteEnded(agentId, work);
-    dispatcher.noteServiceTime(agentId, work, message.ranMicros());
+    dispatcher.recordEnded(agentId, work);
+    dispatcher.recordServiceTime(agentId, work, message.ranMicros());
     if (message.state() == TaskState.SUCCEEDED) {
       end(work, new RequestOutcome.Complete(message.result()));
       return;
     }
-    onTryLost(agentId, work, message.result());
+    onAttemptLost(agentId, work, message.result());
   }
 
-  /** Tries again, within the budget, what a lost agent may have run. */
+  /** Retries, within the budget, the requests that an unreachable agent may have run. */
   void onAgentLost(String agentId, List<Work> inFlight) {
     for (Work work : inFlight) {
       if (work instanceof RequestWork request && request.isOpen()) {
-        onTryLost(agentId, request, "the connection to agent " + agentId + " was lost");
+        onAttemptLost(agentId, request, "lost the connection to agent " + agentId);
       }
     }
   }
 
-  private void onTryLost(String agentId, RequestWork work, String reason) {
-    boolean lastTry = work.lostAt(agentId);
-    if (!lastTry) {
+  private void onAttemptLost(String agentId, RequestWork work, String reason) {
+    boolean noneInFlight = work.recordLost(agentId);
+    if (!noneInFlight) {
       return;
     }
-    if (mayRetry(work)) {
-      work.await();
+    if (tryAcquireRetry(work)) {
+      work.markWaiting();
       dispatcher.enqueue(work);
     } else {
       end(work, new RequestOutcome.Failed(reason));
     }
   }
 
-  /** Sends second tries of the requests that take long. */
+  /** Hedges the requests that have been in flight for too long. */
   void onTick(long nowMs) {
     while (!hedges.isEmpty() && hedges.peek().atMs() <= nowMs) {
       RequestWork work = requests.get(hedges.remove().requestId());
       boolean inFlight = work != null && !work.isWaiting() && !work.isHedged();
-      if (inFlight && mayRetry(work)) {
-        work.hedge();
+      if (inFlight && tryAcquireRetry(work)) {
+        work.markHedged();
         dispatcher.enqueue(work);
       }
     }
--- a/core/src/main/java/io/hingehoist/dispatch/RequestOutcome.java
+++ b/core/src/main/java/io/hingehoist/dispatch/RequestOutcome.java
@@ -1,12 +1,12 @@
 package io.hingehoist.dispatch;
 
-/** How a request ended, or why it was not run. */
+/** The result of a request, or the reason why it was not run. */
 public sealed interface RequestOutcome {
 
-  /** The request ran, and this is its answer. */
+  /** The request ran and returned a result. */
   record Complete(String result) implements RequestOutcome {}
 
-  /** The request ran, or may have run, and has no answer. */
+  /** The request ran, or may have run, without returning a result. */
   record Failed(String reason) implements RequestOutcome {}
 
   /** The request did not run. */
--- a/core/src/main/java/io/hingehoist/dispatch/RequestSpec.java
+++ b/core/src/main/java/io/hingehoist/dispatch/RequestSpec.java
@@ -1,10 +1,10 @@
 package io.hingehoist.dispatch;
 
 /**
- * A repeatable request, as its entry dispatches it.
+ * Describes a repeatable request to the dispatcher.
  *
- * @param requestId unique in the entry
- * @param deadlineMs when it is given up, on the dispatcher's clock
+ * @param requestId unique within the entry
+ * @param deadlineMs when the request fails unless it has ended, on the dispatcher's clock
  */
 public record RequestSpec(
     long requestId,
--- a/core/src/main/java/io/hingehoist/dispatch/RequestWork.java
+++ b/core/src/main/java/io/hingehoist/dispatch/RequestWork.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One repeatable request. Owned by {@link RequestDispatch}. */
+/** A repeatable request. Not thread-safe: confined to the dispatch thread. */
 final class RequestWork extends Work {
   private final RequestSpec spec;
   private final Set<String> agentIds = new LinkedHashSet<>();
@@ -11,7 +11,7 @@
   private boolean open = true;
   private boolean mayHaveRun;
   private boolean hedged;
-  private boolean lostTry;
+  private boolean attemptLost;
 
   RequestWork(long sequence, RequestSpec spec) {
     super(sequence);
@@ -31,28 +31,28 @@
     waiting = false;
   }
 
-  void await() {
+  void markWaiting() {
     waiting = true;
   }
 
-  void sentTo(String agentId) {
+  void recordSent(String agentId) {
     waiting = false;
     mayHaveRun = true;
     agentIds.add(agentId);
   }
 
-  /** Notes that an agent did not run the request; returns whether no other try is in flight. */
-  boolean notRunBy(String agentId) {
+  /** Records that an agent did not run the request; returns whether no attempt is in flight. */
+  boolean recordNotRun(String agentId) {
     agentIds.remove(agentId);
-    if (agentIds.isEmpty() && !lostTry) {
+    if (agentIds.isEmpty() && !attemptLost) {
       mayHaveRun = false;
     }
     return agentIds.isEmpty();
   }
 
-  /** Notes that a try ended without an answer; returns whether no other try is in flight. */
-  boolean lostAt(String agentId) {
-    lostTry = true;
+  /** Records an attempt without a result; returns whether no other attempt is in flight. */
+  boolean recordLost(String agentId) {
+    attemptLost = true;
     agentIds.remove(agentId);
     return agentIds.isEmpty();
   }
@@ -69,7 +69,7 @@
     return hedged;
   }
 
-  void hedge() {
+  void markHedged() {
     hedged = true;
     waiting = true;
   }
--- a/core/src/main/java/io/hingehoist/dispatch/ServicePool.java
+++ b/core/src/main/java/io/hingehoist/dispatch/ServicePool.java
@@ -15,17 +15,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The workers of one service and the work that waits for them, as one entry sees them. Not
- * thread-safe: the dispatch thread owns it.
+ * The workers of one service and the work that waits for them, as seen by one entry. Not
+ * thread-safe: confined to the dispatch thread.
  */
 final class ServicePool {
-  /** How long no work may have waited before agents are told so. */
+  /** Time without waiting work after which agents are told that the demand has ended. */
   private static final long DEMAND_LINGER_MS = 100;
 
-  /** Credits kept for the next arrivals when another entry is short. */
-  private static final int KEPT_CREDITS = 2;
+  /** Credits retained for the next arrivals when another entry needs some. */
+  private static final int RETAINED_CREDITS = 2;
 
-  private static final int NO_CREDITS_WANTED = -1;
+  private static final int UNSUBSCRIBE = -1;
 
   private static final double AVERAGE_WEIGHT = 0.05;
 
@@ -33,10 +33,10 @@
   private final Map<String, Worker<Work>> workers = new LinkedHashMap<>();
   private final WorkQueue queue = new WorkQueue();
   private final RefusalBackoff backoff = new RefusalBackoff();
-  private final Set<String> toldWaiting = new HashSet<>();
+  private final Set<String> notifiedOfDemand = new HashSet<>();
   private final Set<String> subscribed = new HashSet<>();
-  private long admittingTasks;
-  private long lastWaitedMs;
+  private long reservedTasks;
+  private long lastWaitingAtMs;
   private double averageServiceMs;
   private long sampleCount;
 
@@ -56,7 +56,7 @@
     return workers;
   }
 
-  void noteServiceTime(Worker<Work> worker, long micros) {
+  void recordServiceTime(Worker<Work> worker, long micros) {
     worker.recordServiceTime(micros);
     sampleCount++;
     double weight = Math.max(AVERAGE_WEIGHT, 1.0 / sampleCount);
@@ -64,44 +64,45 @@
   }
 
   void reserve(long tasks) {
-    admittingTasks += tasks;
+    reservedTasks += tasks;
   }
 
   void release(long tasks) {
-    admittingTasks -= tasks;
+    reservedTasks -= tasks;
   }
 
   int inFlightCount() {
     return workers.values().stream().mapToInt(Worker::inFlightCount).sum();
   }
 
-  /** Returns the tasks that wait here, those of submissions under admission included. */
+  /** Returns the number of waiting tasks, including those of submissions under admission. */
   long waitingTasks() {
-    return queue.size() + admittingTasks;
+    return queue.size() + reservedTasks;
   }
 
   boolean hasWorkers(long nowMs) {
-    return workers.values().stream().anyMatch(worker -> worker.takesWork(nowMs));
+    return workers.values().stream().anyMatch(worker -> worker.acceptsWork(nowMs));
   }
 
   /**
-   * Returns how long new tasks would take from now on, by the service times seen so far and the
-   * slots that this entry gets.
+   * Returns the estimated time until new tasks would have ended, from the measured service times
+   * and the slots that this entry can use.
    */
   double estimatedTimeMs(long newTasks, long nowMs) {
     long slots =
         workers.values().stream()
-            .filter(worker -> worker.takesWork(nowMs))
+            .filter(worker -> worker.acceptsWork(nowMs))
             .mapToLong(worker -> worker.info().slots())
             .sum();
-    // While work waits, what is in flight shows the share of the slots that this entry really has.
+    // While work waits, every slot that this entry can get is in use, so the work in flight equals
+    // its actual share of the slots.
     long usableSlots = queue.size() > 0 ? inFlightCount() : slots;
     double rounds = (double) (waitingTasks() + newTasks) / Math.max(1, usableSlots);
     return averageServiceMs * Math.max(1, rounds);
   }
 
-  /** Sends waiting work to workers as long as the policy finds one. */
-  void pump(
+  /** Sends waiting work to workers until the placement policy finds none. */
+  void dispatchWaiting(
       java.util.function.Function<Work, ServicePolicy> policyOf,
       java.util.function.BiConsumer<Work, Worker<Work>> sender,
       long nowMs) {
@@ -109,20 +110,21 @@
     if (next.isEmpty()) {
       return;
     }
-    List<Worker<Work>> takers = new ArrayList<>();
+    List<Worker<Work>> candidates = new ArrayList<>();
     for (Worker<Work> worker : workers.values()) {
-      boolean showsRoom = worker.isFresh(nowMs) && worker.estimatedFreeSlots(nowMs) > 0;
-      boolean worthTrying = !backoff.isPaused(nowMs) || showsRoom;
-      if (worker.takesWork(nowMs) && worthTrying) {
-        takers.add(worker);
+      boolean reportsFreeSlots =
+          worker.hasLoadReportAt(nowMs) && worker.estimatedFreeSlots(nowMs) > 0;
+      boolean worthTrying = !backoff.isPaused(nowMs) || reportsFreeSlots;
+      if (worker.acceptsWork(nowMs) && worthTrying) {
+        candidates.add(worker);
       }
     }
     while (next.isPresent()) {
       Work work = next.get();
       PlacementPolicy policy = PlacementPolicy.forName(policyOf.apply(work).placement());
-      Optional<Worker<Work>> chosen = policy.choose(untried(takers, work), random, nowMs);
+      Optional<Worker<Work>> chosen = policy.choose(withoutTried(candidates, work), random, nowMs);
       if (chosen.isEmpty()) {
-        lastWaitedMs = nowMs;
+        lastWaitingAtMs = nowMs;
         return;
       }
       queue.removeSent();
@@ -132,51 +134,52 @@
     }
   }
 
-  /** A second try of a request goes to another worker than the first. */
-  private static List<Worker<Work>> untried(List<Worker<Work>> takers, Work work) {
+  /** Returns the candidates without those that already have an attempt of the request in flight. */
+  private static List<Worker<Work>> withoutTried(List<Worker<Work>> candidates, Work work) {
     if (work instanceof RequestWork request && !request.agentIds().isEmpty()) {
-      return takers.stream()
+      return candidates.stream()
           .filter(worker -> !request.agentIds().contains(worker.agentId()))
           .toList();
     }
-    return takers;
+    return candidates;
   }
 
-  /** Tells agents when this entry begins or ceases to hold work back for want of credits. */
-  void tellDemand(boolean placesByCredit, Consumer<DispatchEffect> effects, long nowMs) {
-    boolean waits = placesByCredit && queue.peek().isPresent();
-    boolean lingers = nowMs - lastWaitedMs < DEMAND_LINGER_MS;
+  /** Tells agents when work of this entry starts or ceases to wait for credits. */
+  void sendDemandChanges(boolean usesSlotCredits, Consumer<DispatchEffect> effects, long nowMs) {
+    boolean waits = usesSlotCredits && queue.peek().isPresent();
+    boolean lingers = nowMs - lastWaitingAtMs < DEMAND_LINGER_MS;
     for (Worker<Work> worker : workers.values()) {
-      boolean told = toldWaiting.contains(worker.agentId());
-      if (!worker.isReachable() || waits == told || (told && lingers)) {
+      boolean notified = notifiedOfDemand.contains(worker.agentId());
+      if (!worker.isReachable() || waits == notified || (notified && lingers)) {
         continue;
       }
-      tell(worker, waits ? 1 : 0, effects);
+      sendDemand(worker, waits ? 1 : 0, effects);
     }
   }
 
-  /** Returns the credits that may go to entries which are short of them. */
+  /** Returns the number of credits that other entries may get. */
   int spareCredits() {
     int held = workers.values().stream().mapToInt(Worker::credits).sum();
-    return Math.max(0, held - KEPT_CREDITS);
+    return Math.max(0, held - RETAINED_CREDITS);
   }
 
-  /** Subscribes to credits of an agent, or ends the subscription. */
-  void subscribe(Worker<Work> worker, boolean placesByCredit, Consumer<DispatchEffect> effects) {
-    if (placesByCredit) {
+  /** Subscribes to an agent's credits, or ends the subscription. */
+  void updateSubscription(
+      Worker<Work> worker, boolean usesSlotCredits, Consumer<DispatchEffect> effects) {
+    if (usesSlotCredits) {
       subscribed.add(worker.agentId());
-      tell(worker, queue.peek().isPresent() ? 1 : 0, effects);
+      sendDemand(worker, queue.peek().isPresent() ? 1 : 0, effects);
     } else if (subscribed.remove(worker.agentId())) {
       worker.removeCredits(worker.credits());
-      tell(worker, NO_CREDITS_WANTED, effects);
+      sendDemand(worker, UNSUBSCRIBE, effects);
     }
   }
 
-  private void tell(Worker<Work> worker, int waiting, Consumer<DispatchEffect> effects) {
+  private void sendDemand(Worker<Work> worker, int waiting, Consumer<DispatchEffect> effects) {
     if (waiting > 0) {
-      toldWaiting.add(worker.agentId());
+      notifiedOfDemand.add(worker.agentId());
     } else {
-      toldWaiting.remove(worker.agentId());
+      notifiedOfDemand.remove(worker.agentId());
     }
     effects.accept(new DispatchEffect.Send(worker.agentId(), new CreditDemand(waiting)));
   }
--- a/core/src/main/java/io/hingehoist/dispatch/TaskWork.java
+++ b/core/src/main/java/io/hingehoist/dispatch/TaskWork.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One task of a job that this entry owns. Owned by its {@link JobRun}. */
+/** A task of a job that this entry owns. Not thread-safe: confined to the dispatch thread. */
 final class TaskWork extends Work {
 
   enum Stage {
@@ -12,20 +12,20 @@
     DONE
   }
 
-  private final JobRun job;
+  private final ActiveJob job;
   private final int index;
   private Stage stage = Stage.WAITING;
   private int grantNumber;
   private String agentId = "";
   private Optional<String> result = Optional.empty();
 
-  TaskWork(long sequence, JobRun job, int index) {
+  TaskWork(long sequence, ActiveJob job, int index) {
     super(sequence);
     this.job = job;
     this.index = index;
   }
 
-  JobRun job() {
+  ActiveJob job() {
     return job;
   }
 
@@ -49,23 +49,23 @@
     return result;
   }
 
-  void hold() {
+  void markFenced() {
     stage = Stage.FENCED;
   }
 
-  void await() {
+  void markWaiting() {
     stage = Stage.WAITING;
     agentId = "";
   }
 
-  /** Notes a new grant, which no agent has seen before. */
-  void grant(String newAgentId) {
+  /** Records a grant to an agent, under a grant number that was never used for this task. */
+  void markGranted(String newAgentId) {
     stage = Stage.GRANTED;
     agentId = newAgentId;
     grantNumber++;
   }
 
-  void finish(String newResult) {
+  void markDone(String newResult) {
     stage = Stage.DONE;
     result = Optional.of(newResult);
   }
--- a/core/src/main/java/io/hingehoist/dispatch/Work.java
+++ b/core/src/main/java/io/hingehoist/dispatch/Work.java
@@ -1,6 +1,6 @@
 package io.hingehoist.dispatch;
 
-/** A piece of work that waits for a worker or is in flight. Compared by identity. */
+/** A task or request that waits for a worker or is in flight. Compared by identity. */
 abstract sealed class Work permits TaskWork, RequestWork {
   private final long sequence;
 
@@ -8,7 +8,7 @@
     this.sequence = sequence;
   }
 
-  /** Returns the order of arrival. */
+  /** Returns the position in the order of arrival. */
   long sequence() {
     return sequence;
   }
@@ -21,6 +21,6 @@
 
   abstract long deadlineMs();
 
-  /** Returns whether the work still waits for a worker. */
+  /** Returns whether the work is still waiting for a worker. */
   abstract boolean isWaiting();
 }
--- a/core/src/main/java/io/hingehoist/dispatch/WorkQueue.java
+++ b/core/src/main/java/io/hingehoist/dispatch/WorkQueue.java
@@ -7,9 +7,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The work of one service that waits for a worker: fair between teams, earliest deadline first
- * within a team. Choosing costs time in the number of teams with waiting work. Not thread-safe: the
- * dispatch thread owns it.
+ * The queue of work of one service that waits for a worker: weighted fair queueing between teams,
+ * earliest deadline first within a team. Selecting the next piece takes time linear in the number
+ * of teams. Not thread-safe: confined to the dispatch thread.
  */
 final class WorkQueue {
   private static final Comparator<Work> EARLIEST_DEADLINE_FIRST =
@@ -24,10 +24,10 @@
   }
 
   private final Map<String, Team> teams = new HashMap<>();
-  private double virtualNow;
+  private double queueVirtualTime;
   private int size;
 
-  /** Returns the number of pieces that wait, stale ones included. */
+  /** Returns the number of queued pieces, including those that no longer wait for a worker. */
   int size() {
     return size;
   }
@@ -35,16 +35,16 @@
   /**
    * Adds work.
    *
-   * @param weight the share of the team
-   * @param maxInFlight the most slots that the team uses at once; 0 for no limit
+   * @param weight the team's share of the slots, relative to the weights of the other teams
+   * @param maxInFlight the number of slots that the team may use at once; 0 for no limit
    */
   void add(Work work, long weight, long maxInFlight) {
     Team team = teams.computeIfAbsent(work.team(), name -> new Team());
     team.weight = weight;
     team.maxInFlight = maxInFlight == 0 ? Long.MAX_VALUE : maxInFlight;
     if (team.waiting.isEmpty()) {
-      // A team that was idle does not get the time back that it did not use.
-      team.virtualTime = Math.max(team.virtualTime, virtualNow);
+      // A team gains no priority from the time during which it had no waiting work.
+      team.virtualTime = Math.max(team.virtualTime, queueVirtualTime);
     }
     team.waiting.add(work);
     size++;
@@ -55,33 +55,33 @@
     return nextTeam().map(team -> team.waiting.peek());
   }
 
-  /** Removes the piece that {@link #peek} returned, as sent to a worker. */
+  /** Removes the piece that {@link #peek} returned and counts it as in flight. */
   void removeSent() {
     Team team = nextTeam().orElseThrow();
     team.waiting.remove();
     team.inFlight++;
-    virtualNow = team.virtualTime;
+    queueVirtualTime = team.virtualTime;
     team.virtualTime += 1.0 / team.weight;
     size--;
   }
 
-  /** Notes that a piece of work of a team is no longer in flight. */
-  void noteEnded(String teamName) {
+  /** Records that a piece of work of a team is no longer in flight. */
+  void recordEnded(String teamName) {
     Team team = teams.get(teamName);
     if (team != null && team.inFlight > 0) {
       team.inFlight--;
     }
   }
 
-  /** Notes that a piece of work is in flight which was never queued here. */
-  void noteAdopted(String teamName) {
+  /** Records a piece of work in flight that was never in this queue. */
+  void recordAdopted(String teamName) {
     teams.computeIfAbsent(teamName, name -> new Team()).inFlight++;
   }
 
   private Optional<Team> nextTeam() {
     Team best = null;
     for (Team team : teams.values()) {
-      dropStale(team);
+      removeStale(team);
       boolean eligible = !team.waiting.isEmpty() && team.inFlight < team.maxInFlight;
       if (eligible && (best == null || team.virtualTime < best.virtualTime)) {
         best = team;
@@ -90,7 +90,7 @@
     return Optional.ofNullable(best);
   }
 
-  private void dropStale(Team team) {
+  private void removeStale(Team team) {
     while (!team.waiting.isEmpty() && !team.waiting.peek().isWaiting()) {
       team.waiting.remove();
       size--;
--- a/core/src/main/java/io/hingehoist/dispatch/package-info.java
+++ b/core/src/main/java/io/hingehoist/dispatch/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The work of an entry: jobs it owns, work it holds back, and when it gives up.
+ * The decisions of an entry about its work: what it admits, which worker runs it, what is retried,
+ * and when it fails.
  *
- * <p>Begin with {@link io.hingehoist.dispatch.Dispatcher}. No thread, socket, clock or file here.
+ * <p>Start with {@link io.hingehoist.dispatch.Dispatcher}. The classes of this package use no
+ * threads, sockets, clocks or files.
  */
 package io.hingehoist.dispatch;
--- a/core/src/main/java/io/hingehoist/placement/PlacementPolicies.java
+++ b/core/src/main/java/io/hingehoist/placement/PlacementPolicies.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Static helpers of {@link PlacementPolicy}. */
+/** Static methods that implement the choices of {@link PlacementPolicy}. */
 final class PlacementPolicies {
   private PlacementPolicies() {}
 
@@ -25,7 +25,9 @@
     return Optional.of(second.load(nowMs) < first.load(nowMs) ? second : first);
   }
 
-  /** Of workers with equally little work of this entry, takes the one least used by others. */
+  /**
+   * Returns a free worker with the least work of this entry; among equals, the least loaded one.
+   */
   static <W> Optional<Worker<W>> leastOutstanding(
       List<Worker<W>> candidates, RandomGenerator random, long nowMs) {
     Worker<W> best = null;
@@ -45,7 +47,10 @@
     return difference < 0 || (difference == 0 && one.load(nowMs) < other.load(nowMs));
   }
 
-  /** Starts at a random place, so that entries with equal credits do not march in step. */
+  /**
+   * Returns the worker with the most credits; empty if none has any. Starts at a random worker, so
+   * that entries with equal credits do not all choose the same worker at the same time.
+   */
   static <W> Optional<Worker<W>> mostCredits(List<Worker<W>> candidates, RandomGenerator random) {
     int start = random.nextInt(candidates.size());
     Worker<W> best = candidates.get(start);
--- a/core/src/main/java/io/hingehoist/placement/PlacementPolicy.java
+++ b/core/src/main/java/io/hingehoist/placement/PlacementPolicy.java
@@ -4,39 +4,40 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** A rule by which an entry chooses a worker. The candidates take work and are in no order. */
+/** A policy by which an entry chooses a worker among unordered candidates that accept work. */
 public sealed interface PlacementPolicy {
 
-  /** Takes any worker, whether it seems full or not: the baseline. */
+  /** Chooses any worker, whether it seems full or not. Serves as the baseline. */
   record RandomChoice() implements PlacementPolicy {}
 
   /**
-   * Takes the less loaded of two workers (Mitzenmacher, "The Power of Two Choices in Randomized
-   * Load Balancing", 2001), and holds work back when every worker seems full.
+   * Chooses the less loaded of two random workers (Mitzenmacher, "The Power of Two Choices in
+   * Randomized Load Balancing", 2001). Keeps work queued while every worker seems full.
    */
   record TwoChoices() implements PlacementPolicy {}
 
   /**
-   * Takes a worker that runs the least work of this entry. Entries with alike load so fill alike
-   * shares of each worker without telling each other. Holds work back when every worker seems full.
+   * Chooses a worker that runs the least work of this entry. Entries with similar load thus use
+   * similar shares of each worker without communicating. Keeps work queued while every worker seems
+   * full.
    */
   record LeastOutstanding() implements PlacementPolicy {}
 
-  /** Takes a worker whose agent has granted a slot, and holds work back when there is none. */
+  /** Chooses a worker whose agent has granted a slot. Keeps work queued while there is none. */
   record SlotCredits() implements PlacementPolicy {}
 
-  /** Returns the policy that a setting names. */
+  /** Returns the policy with the given name, as used in the settings. */
   static PlacementPolicy forName(String name) {
     return switch (name) {
       case "random" -> new RandomChoice();
       case "twoChoices" -> new TwoChoices();
       case "leastOutstanding" -> new LeastOutstanding();
       case "slotCredits" -> new SlotCredits();
-      default -> throw new IllegalArgumentException("no placement policy is named " + name);
+      default -> throw new IllegalArgumentException("unknown placement policy \"" + name + "\"");
     };
   }
 
-  /** Returns the worker for the next piece of work; empty to hold it back. */
+  /** Returns the worker for the next piece of work; empty if the work has to stay queued. */
   default <W> Optional<Worker<W>> choose(
       List<Worker<W>> candidates, RandomGenerator random, long nowMs) {
     if (candidates.isEmpty()) {
--- a/core/src/main/java/io/hingehoist/placement/Worker.java
+++ b/core/src/main/java/io/hingehoist/placement/Worker.java
@@ -8,28 +8,28 @@
 import java.util.Optional;
 
 /**
- * What an entry knows of one worker: its agent, the work in flight there, and its load.
+ * An entry's view of one worker: its agent, the work in flight there, and its load.
  *
- * <p>The load caused by other entries is known only from the agent's latest answer. Not
- * thread-safe: the dispatch thread owns it.
+ * <p>The load caused by other entries is known only from the agent's latest report. Not
+ * thread-safe: confined to the dispatch thread.
  *
  * @param <W> the type of a piece of work
  */
 public final class Worker<W> {
-  /** Age of the latest answer after which a worker that seemed full is tried again. */
-  private static final long VIEW_MAX_AGE_MS = 50;
+  /** Age of the latest load report after which a worker that seemed full is tried again. */
+  private static final long REPORT_MAX_AGE_MS = 50;
 
-  /** With less work than this in flight, its age says little. */
-  private static final int MIN_OLD_WORK = 3;
+  /** Work in flight below which its age does not indicate a slow worker. */
+  private static final int MIN_WORK_FOR_AGE = 3;
 
-  /** Weight of a new service time in the moving average. */
+  /** Weight of a new service time in the exponential moving average. */
   private static final double AVERAGE_WEIGHT = 0.2;
 
   private AgentInfo info;
   private boolean connected;
-  private long seenIncarnation;
+  private long connectedIncarnation;
   private boolean refusesWork;
-  private final Map<W, Long> sentAtMs = new LinkedHashMap<>();
+  private final Map<W, Long> sentAtMsByWork = new LinkedHashMap<>();
   private int busyForOthers;
   private long reportedAtMs;
   private int credits;
@@ -41,38 +41,38 @@
     this.info = info;
   }
 
-  /** Creates the view of a worker that is not connected yet. */
+  /** Returns the view of a worker that is not connected yet. */
   public static <W> Worker<W> create(AgentInfo info) {
     return new Worker<>(info);
   }
 
-  /** Returns the name of the agent. */
+  /** Returns the id of the agent. */
   public String agentId() {
     return info.agentId();
   }
 
-  /** Returns what the control replicas say of the agent. */
+  /** Returns the agent's registration at the control replicas. */
   public AgentInfo info() {
     return info;
   }
 
-  /** Takes over what the control replicas say of the agent. */
+  /** Replaces the agent's registration at the control replicas. */
   public void update(AgentInfo newInfo) {
     info = newInfo;
   }
 
-  /** Notes that a connection is open and what the agent said of itself on it. */
+  /** Records the agent's status, received on an open connection. */
   public void onStatus(long incarnation, boolean draining, int newBusyForOthers, long nowMs) {
-    if (!connected || incarnation != seenIncarnation) {
+    if (!connected || incarnation != connectedIncarnation) {
       credits = 0;
     }
     connected = true;
-    seenIncarnation = incarnation;
+    connectedIncarnation = incarnation;
     refusesWork = draining;
     recordBusyForOthers(newBusyForOthers, nowMs);
   }
 
-  /** Notes that the connection is lost. */
+  /** Records the loss of the connection. */
   public void onDisconnected() {
     connected = false;
     credits = 0;
@@ -80,54 +80,54 @@
 
   /** Returns whether messages reach the agent's registered incarnation. */
   public boolean isReachable() {
-    return connected && seenIncarnation == info.incarnation();
+    return connected && connectedIncarnation == info.incarnation();
   }
 
-  /** Returns whether new work may be sent at all, slots aside. */
-  public boolean takesWork(long nowMs) {
+  /** Returns whether the worker accepts new work, regardless of its free slots. */
+  public boolean acceptsWork(long nowMs) {
     return isReachable()
         && info.state() == MemberState.LIVE
         && !refusesWork
         && nowMs >= ejectedUntilMs;
   }
 
-  /** Returns whether the agent is about to stop, or is drained. */
+  /** Returns whether the agent is shutting down or being drained. */
   public boolean isDraining() {
     return refusesWork || info.state() == MemberState.DRAINING;
   }
 
-  /** Notes that the agent said it takes no new work. */
+  /** Records that the agent accepts no new work until its next status. */
   public void recordRefusal() {
     refusesWork = true;
   }
 
-  /** Notes how many slots the agent said are taken by other entries. */
+  /** Records the number of slots that the agent reported as used by other entries. */
   public void recordBusyForOthers(int slots, long nowMs) {
     busyForOthers = slots;
     reportedAtMs = nowMs;
   }
 
-  /** Returns whether the agent has told its load at this moment. */
-  public boolean isFresh(long nowMs) {
+  /** Returns whether the agent reported its load at the given time. */
+  public boolean hasLoadReportAt(long nowMs) {
     return reportedAtMs == nowMs;
   }
 
-  /** Returns how many slots seem free, as far as the latest answer tells. */
+  /** Returns the estimated number of free slots, from the latest load report. */
   public int estimatedFreeSlots(long nowMs) {
-    int free = info.slots() - sentAtMs.size() - busyForOthers;
-    boolean stale = nowMs - reportedAtMs > VIEW_MAX_AGE_MS;
-    if (free <= 0 && stale && sentAtMs.size() < info.slots()) {
+    int free = info.slots() - sentAtMsByWork.size() - busyForOthers;
+    boolean reportOutdated = nowMs - reportedAtMs > REPORT_MAX_AGE_MS;
+    if (free <= 0 && reportOutdated && sentAtMsByWork.size() < info.slots()) {
       return 1;
     }
     return free;
   }
 
-  /** Returns the share of the slots that is in use, as far as the latest answer tells. */
+  /** Returns the estimated share of the slots in use, from the latest load report. */
   public double load(long nowMs) {
     return 1.0 - (double) estimatedFreeSlots(nowMs) / info.slots();
   }
 
-  /** Returns the slots that may be filled without asking. */
+  /** Returns the number of slots that the agent has granted and this entry has not used. */
   public int credits() {
     return credits;
   }
@@ -137,42 +137,42 @@
     credits += granted;
   }
 
-  /** Removes up to a number of unused credits and returns how many were removed. */
-  public int removeCredits(int asked) {
-    int removed = Math.min(credits, Math.max(0, asked));
+  /** Removes up to the given number of unused credits and returns how many were removed. */
+  public int removeCredits(int requested) {
+    int removed = Math.min(credits, Math.max(0, requested));
     credits -= removed;
     return removed;
   }
 
-  /** Notes that a piece of work was sent. */
+  /** Records that a piece of work was sent, which uses a credit if there is one. */
   public void recordSent(W work, long nowMs) {
-    sentAtMs.put(work, nowMs);
+    sentAtMsByWork.put(work, nowMs);
     if (credits > 0) {
       credits--;
     }
   }
 
-  /** Notes that a piece of work runs here although this entry did not send it. */
+  /** Records a running piece of work that another entry had sent. */
   public void recordAdopted(W work, long nowMs) {
-    sentAtMs.put(work, nowMs);
+    sentAtMsByWork.put(work, nowMs);
   }
 
-  /** Notes that a piece of work is no longer in flight; returns whether it was. */
+  /** Records that a piece of work is no longer in flight; returns whether it was. */
   public boolean recordEnded(W work) {
-    return sentAtMs.remove(work) != null;
+    return sentAtMsByWork.remove(work) != null;
   }
 
   /** Returns the work in flight, oldest first. */
   public List<W> inFlight() {
-    return List.copyOf(sentAtMs.keySet());
+    return List.copyOf(sentAtMsByWork.keySet());
   }
 
   /** Returns the number of pieces of work in flight. */
   public int inFlightCount() {
-    return sentAtMs.size();
+    return sentAtMsByWork.size();
   }
 
-  /** Takes a measured service time into the average. */
+  /** Adds a measured service time to the average. */
   public void recordServiceTime(long micros) {
     sampleCount++;
     double weight = Math.max(AVERAGE_WEIGHT, 1.0 / sampleCount);
@@ -180,11 +180,12 @@
   }
 
   /**
-   * Returns how slow the worker is: its average, or the age of half of its work if that is more.
-   * One straggler says nothing of a worker, but a stuck one has nothing but old work.
+   * Returns the slowness of the worker in microseconds: its average service time, or the median age
+   * of its work in flight if that is greater. The median ignores a single long-running piece of
+   * work but reveals a stuck worker, all of whose work is old. Empty without a measurement.
    */
   public Optional<Double> slownessMicros(long nowMs) {
-    double ageMicros = sentAtMs.size() < MIN_OLD_WORK ? 0 : 1_000.0 * medianAgeMs(nowMs);
+    double ageMicros = sentAtMsByWork.size() < MIN_WORK_FOR_AGE ? 0 : 1_000.0 * medianAgeMs(nowMs);
     if (sampleCount == 0 && ageMicros == 0) {
       return Optional.empty();
     }
@@ -192,7 +193,11 @@
   }
 
   private long medianAgeMs(long nowMs) {
-    return nowMs - sentAtMs.values().stream().skip(sentAtMs.size() / 2).findFirst().orElse(nowMs);
+    return nowMs
+        - sentAtMsByWork.values().stream()
+            .skip(sentAtMsByWork.size() / 2)
+            .findFirst()
+            .orElse(nowMs);
   }
 
   /** Returns the average service time in microseconds; 0 before the first measurement. */
@@ -200,14 +205,17 @@
     return averageMicros;
   }
 
-  /** Leaves the worker out until a time, and forgets its average so that it can show it is well. */
+  /**
+   * Excludes the worker from placement until a time. Discards its average service time, so that it
+   * is judged by new measurements afterwards.
+   */
   public void eject(long untilMs) {
     ejectedUntilMs = untilMs;
     averageMicros = 0;
     sampleCount = 0;
   }
 
-  /** Returns whether the worker is left out for slowness. */
+  /** Returns whether the worker is excluded from placement by {@link #eject}. */
   public boolean isEjected(long nowMs) {
     return nowMs < ejectedUntilMs;
   }
--- a/core/src/main/java/io/hingehoist/placement/package-info.java
+++ b/core/src/main/java/io/hingehoist/placement/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Which worker gets the next task, as an entry sees the workers.
+ * The choice of a worker for the next piece of work, based on an entry's view of the workers.
  *
- * <p>Begin with {@link io.hingehoist.placement.PlacementPolicy}. {@link
- * io.hingehoist.placement.Worker} holds what an entry knows of one agent and its backend server.
+ * <p>Start with {@link io.hingehoist.placement.PlacementPolicy}. {@link
+ * io.hingehoist.placement.Worker} is an entry's view of one agent and its backend server.
  */
 package io.hingehoist.placement;
--- a/core/src/main/java/io/hingehoist/route/Route.java
+++ b/core/src/main/java/io/hingehoist/route/Route.java
@@ -4,16 +4,16 @@
 import io.hingehoist.message.RouteRow;
 
 /**
- * One queue of jobs and the requests that belong to it.
+ * A queue of jobs, with the host and path prefix of the requests that belong to it.
  *
- * @param name names the queue
- * @param host the host that requests name
- * @param prefix what their path begins with
- * @param service the service whose workers run its tasks
- * @param priority 0 goes first
- * @param attempts the failed runs of one task after which a job fails
- * @param allowanceMs the time allowed beyond the work itself
- * @param stretch how many times as long as the work an answer may take
+ * @param name the name of the queue
+ * @param host the host of the requests
+ * @param prefix the prefix of the path of the requests
+ * @param service the service whose workers run the tasks
+ * @param priority the priority; 0 is the highest
+ * @param attempts the number of failed runs of one task after which its job fails
+ * @param allowanceMs the time allowed in addition to the stretched time of the work
+ * @param stretch the time allowed for the work, as a multiple of its estimated time
  */
 public record Route(
     String name,
@@ -24,10 +24,10 @@
     int attempts,
     long allowanceMs,
     double stretch) {
-  /** An odd number with bits spread evenly, which carries each bit of a factor upwards. */
-  private static final long SPREAD = 0x9e3779b97f4a7c15L;
+  /** An odd multiplier with evenly distributed bits, which spreads each bit of a value upwards. */
+  private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
 
-  /** Returns the route that a row of a message stands for. */
+  /** Returns the route that a row of a message represents. */
   static Route of(RouteRow row) {
     RoutePlace place = row.place();
     return new Route(
@@ -41,29 +41,29 @@
         row.stretch());
   }
 
-  /** Returns the row of a message that stands for this route. */
+  /** Returns the row of a message that represents this route. */
   RouteRow toRow() {
     return new RouteRow(name, place(), service, priority, attempts, allowanceMs, stretch);
   }
 
-  /** Returns where it applies. */
+  /** Returns the host and prefix to which the route applies. */
   RoutePlace place() {
     return new RoutePlace(host, prefix);
   }
 
-  /** Returns a number that differs between routes that differ, but for a rare chance. */
+  /** Returns a 64-bit hash of all fields. Different routes rarely have the same one. */
   long digest() {
-    long digest = mixed(name.hashCode(), host.hashCode());
-    digest = mixed(digest, prefix.hashCode());
-    digest = mixed(digest, service.hashCode());
-    digest = mixed(digest, priority);
-    digest = mixed(digest, attempts);
-    digest = mixed(digest, allowanceMs);
-    return mixed(digest, Double.doubleToLongBits(stretch));
+    long digest = mix(name.hashCode(), host.hashCode());
+    digest = mix(digest, prefix.hashCode());
+    digest = mix(digest, service.hashCode());
+    digest = mix(digest, priority);
+    digest = mix(digest, attempts);
+    digest = mix(digest, allowanceMs);
+    return mix(digest, Double.doubleToLongBits(stretch));
   }
 
-  private static long mixed(long digest, long value) {
-    long mixed = (digest ^ value) * SPREAD;
-    return mixed ^ (mixed >>> 29);
+  private static long mix(long digest, long value) {
+    long product = (digest ^ value) * HASH_MULTIPLIER;
+    return product ^ (product >>> 29);
   }
 }
--- a/core/src/main/java/io/hingehoist/route/RouteParts.java
+++ b/core/src/main/java/io/hingehoist/route/RouteDeltas.java
@@ -6,32 +6,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What turns one table into another, in parts that are small enough to share a connection. */
-final class RouteParts {
-  /** Some 7 KB, 4 ms on a link of 17 Mbit/s: what a heartbeat may wait for behind a part. */
-  static final int USUAL_ROUTES = 64;
+/** Static methods that compute the changes between two tables, split into parts for transfer. */
+final class RouteDeltas {
+  /** About 7 KB, or 4 ms on a link of 17 Mbit/s: the delay of a heartbeat queued behind a part. */
+  static final int UPDATE_ROUTES_PER_PART = 64;
 
   /**
-   * Some 55 KB, for whoever holds nothing yet and serves nobody: there is nothing to wait behind a
-   * part, and each part costs a round trip of cold code.
+   * About 55 KB, for a receiver that has no table yet and thus serves no callers. No heartbeat is
+   * delayed, and fewer parts save round trips through code that the JVM has not compiled yet.
    */
-  static final int FIRST_ROUTES = 512;
+  static final int INITIAL_ROUTES_PER_PART = 512;
 
-  private RouteParts() {}
+  private RouteDeltas() {}
 
   /**
-   * Returns the parts in order; at least one, which may change nothing.
+   * Returns the parts that turn a table into a newer one, in order. There is at least one, which is
+   * empty if no route differs.
    *
-   * @param partRoutes the largest number of routes in one
+   * @param routesPerPart the maximum number of routes in a part
    */
-  static List<RoutesPart> of(RouteTable base, RouteTable newer, int partRoutes) {
+  static List<RoutesPart> of(RouteTable base, RouteTable newer, int routesPerPart) {
     List<RoutePlace> removed = removed(base, newer);
     List<RouteRow> put = put(base, newer);
     int changes = removed.size() + put.size();
-    int partCount = Math.max(1, (changes + partRoutes - 1) / partRoutes);
+    int partCount = Math.max(1, (changes + routesPerPart - 1) / routesPerPart);
     List<RoutesPart> parts = new ArrayList<>(partCount);
     for (int part = 0; part < partCount; part++) {
-      int from = part * partRoutes;
+      int from = part * routesPerPart;
       parts.add(
           new RoutesPart(
               newer.version(),
@@ -39,8 +40,8 @@
               base.version(),
               part,
               partCount,
-              piece(removed, from, partRoutes),
-              piece(put, from - removed.size(), partRoutes)));
+              clampedSubList(removed, from, routesPerPart),
+              clampedSubList(put, from - removed.size(), routesPerPart)));
     }
     return parts;
   }
@@ -48,7 +49,7 @@
   private static List<RoutePlace> removed(RouteTable base, RouteTable newer) {
     List<RoutePlace> removed = new ArrayList<>();
     for (Route route : base.routes()) {
-      if (newer.at(route.place()).isEmpty()) {
+      if (newer.routeAt(route.place()).isEmpty()) {
         removed.add(route.place());
       }
     }
@@ -58,15 +59,15 @@
   private static List<RouteRow> put(RouteTable base, RouteTable newer) {
     List<RouteRow> put = new ArrayList<>();
     for (Route route : newer.routes()) {
-      if (base.at(route.place()).filter(route::equals).isEmpty()) {
+      if (base.routeAt(route.place()).filter(route::equals).isEmpty()) {
         put.add(route.toRow());
       }
     }
     return put;
   }
 
-  /** Returns what of a list lies in a part that begins at an index, which may be below 0. */
-  private static <T> List<T> piece(List<T> all, int from, int length) {
+  /** Returns the elements of a list in a range that may extend beyond either end of the list. */
+  private static <T> List<T> clampedSubList(List<T> all, int from, int length) {
     int first = Math.clamp(from, 0, all.size());
     int end = Math.clamp(from + length, 0, all.size());
     return all.subList(first, end);
--- a/core/src/main/java/io/hingehoist/route/RouteDownload.java
+++ b/core/src/main/java/io/hingehoist/route/RouteDownload.java
@@ -9,48 +9,51 @@
 import java.util.Optional;
 
 /**
- * Fetches route tables part by part from replicas that announce them. The table in force serves
- * until the next one is whole.
+ * Downloads route tables part by part from replicas that announce them. The active table stays in
+ * use until the next one is complete.
  *
- * <p>The load that it answers: thousands of routes in one change, on a box with little processor
- * and a slow link that goes on serving callers. One part is asked for at a time, so that each turn
- * of the caller's loop has little to do. Call a method for each event, then carry out {@link
- * #drainEffects}. Not thread-safe.
+ * <p>Designed for changes of thousands of routes at once on a box with a slow processor and a slow
+ * link that keeps serving callers meanwhile. Only one part is requested at a time, so that each
+ * iteration of the caller's event loop does little work. Call a method for each event, then carry
+ * out {@link #drainEffects}. Not thread-safe.
  */
 public final class RouteDownload {
-  /** Far longer than a part takes on a busy link, and short beside the time for a change. */
-  private static final long PATIENCE_MS = 300;
+  /**
+   * Far longer than a part takes on a busy link, and short compared with the time allowed for a
+   * change.
+   */
+  private static final long RESPONSE_TIMEOUT_MS = 300;
 
-  /** What is to be done. */
+  /** An action for the caller to carry out. */
   public sealed interface Effect {
-    /** Sends a request to a replica. */
+    /** Sends a request for a part to a replica. */
     record RequestPart(String source, RoutesRequest request) implements Effect {}
 
     /**
-     * A table is in force.
+     * Reports that a downloaded table has become active.
      *
-     * @param durationMs the time since it was first asked for
+     * @param durationMs the time since the download was started
      */
     record TableActivated(RouteTable table, String source, int partCount, long durationMs)
         implements Effect {}
 
-    /** What a replica sent leads to no table, or did not come. */
+    /** Reports that a replica's parts did not arrive or did not lead to a valid table. */
     record DownloadFailed(String source, long version, String reason) implements Effect {}
   }
 
   private static final class Fetch {
     private final String source;
-    private final long beganAtMs;
+    private final long startedAtMs;
     private long version;
     private long baseVersion;
     private int nextPart;
-    private long askedAtMs;
+    private long requestedAtMs;
     private RouteTable.Builder builder;
 
     private Fetch(String source, long version, long nowMs) {
       this.source = source;
       this.version = version;
-      this.beganAtMs = nowMs;
+      this.startedAtMs = nowMs;
     }
   }
 
@@ -61,48 +64,48 @@
 
   private RouteDownload() {}
 
-  /** Returns a download with the empty table in force. */
+  /** Returns a download whose active table is empty. */
   public static RouteDownload create() {
     return new RouteDownload();
   }
 
-  /** Returns the table in force. */
+  /** Returns the active table. */
   public RouteTable table() {
     return table;
   }
 
-  /** Returns what is to be done since the last call, in order. */
+  /** Returns the actions since the last call, in the order in which to carry them out. */
   public List<Effect> drainEffects() {
     List<Effect> taken = List.copyOf(effects);
     effects.clear();
     return taken;
   }
 
-  /** Notes that a replica has a version. */
+  /** Handles the announcement of a version by a replica. */
   public void onVersionAnnounced(String source, long version, long nowMs) {
     versionBySource.merge(source, version, Math::max);
     if (current.isEmpty()) {
-      beginIfBehind(nowMs);
+      startIfOutdated(nowMs);
     }
   }
 
-  /** Notes that a replica can't be asked any more. */
+  /** Handles the loss of the connection to a replica. */
   public void onSourceLost(String source, long nowMs) {
     versionBySource.remove(source);
     if (current.filter(fetch -> fetch.source.equals(source)).isPresent()) {
-      giveUp("the connection is lost", nowMs);
+      failCurrent("the connection is lost", nowMs);
     }
   }
 
-  /** Does what the time has made due. */
+  /** Fails the current download if its replica has not responded in time. */
   public void onTick(long nowMs) {
-    if (current.filter(fetch -> nowMs - fetch.askedAtMs >= PATIENCE_MS).isPresent()) {
-      giveUp("no answer", nowMs);
+    if (current.filter(fetch -> nowMs - fetch.requestedAtMs >= RESPONSE_TIMEOUT_MS).isPresent()) {
+      failCurrent("no answer", nowMs);
     }
   }
 
-  /** Another replica comes first from now on: the one that failed goes to the end of the order. */
-  private void giveUp(String reason, long nowMs) {
+  /** Ends the current download and moves its replica to the end of the order of sources. */
+  private void failCurrent(String reason, long nowMs) {
     Fetch failed = current.orElseThrow();
     effects.add(new Effect.DownloadFailed(failed.source, failed.version, reason));
     current = Optional.empty();
@@ -110,52 +113,55 @@
     if (version != null) {
       versionBySource.put(failed.source, version);
     }
-    beginIfBehind(nowMs);
+    startIfOutdated(nowMs);
   }
 
-  private void beginIfBehind(long nowMs) {
+  private void startIfOutdated(long nowMs) {
     for (Map.Entry<String, Long> source : versionBySource.entrySet()) {
       if (source.getValue() > table.version()) {
         Fetch fetch = new Fetch(source.getKey(), source.getValue(), nowMs);
         current = Optional.of(fetch);
-        ask(fetch, table.version(), table.digest(), nowMs);
+        requestPart(fetch, table.version(), table.digest(), nowMs);
         return;
       }
     }
   }
 
-  private void ask(Fetch fetch, long heldVersion, long heldDigest, long nowMs) {
-    fetch.askedAtMs = nowMs;
-    int partRoutes = table.version() == 0 ? RouteParts.FIRST_ROUTES : RouteParts.USUAL_ROUTES;
+  private void requestPart(Fetch fetch, long heldVersion, long heldDigest, long nowMs) {
+    fetch.requestedAtMs = nowMs;
+    int routesPerPart =
+        table.version() == 0
+            ? RouteDeltas.INITIAL_ROUTES_PER_PART
+            : RouteDeltas.UPDATE_ROUTES_PER_PART;
     RoutesRequest request =
-        new RoutesRequest(heldVersion, heldDigest, fetch.version, fetch.nextPart, partRoutes);
+        new RoutesRequest(heldVersion, heldDigest, fetch.version, fetch.nextPart, routesPerPart);
     effects.add(new Effect.RequestPart(fetch.source, request));
   }
 
-  /** Takes a part of what leads to a newer table. */
+  /** Handles a part of a newer table. */
   public void onPart(String source, RoutesPart part, long nowMs) {
     if (current.filter(fetch -> fetch.source.equals(source)).isEmpty()) {
       return;
     }
     Fetch fetch = current.get();
     if (part.part() == 0) {
-      begin(fetch, part);
+      onFirstPart(fetch, part);
     }
-    if (!follows(fetch, part)) {
-      giveUp("a part that does not follow", nowMs);
+    if (!isExpected(fetch, part)) {
+      failCurrent("unexpected part", nowMs);
       return;
     }
     part.removed().forEach(fetch.builder::remove);
     part.put().forEach(row -> fetch.builder.put(Route.of(row)));
     fetch.nextPart++;
     if (fetch.nextPart < part.partCount()) {
-      askOn(fetch, nowMs);
+      requestNextPart(fetch, nowMs);
     } else {
-      finish(fetch, part, nowMs);
+      onLastPart(fetch, part, nowMs);
     }
   }
 
-  private void begin(Fetch fetch, RoutesPart part) {
+  private void onFirstPart(Fetch fetch, RoutesPart part) {
     RouteTable base = part.baseVersion() == 0 ? RouteTable.empty() : table;
     fetch.version = part.version();
     fetch.baseVersion = part.baseVersion();
@@ -163,7 +169,7 @@
     fetch.builder = base.toBuilder();
   }
 
-  private boolean follows(Fetch fetch, RoutesPart part) {
+  private boolean isExpected(Fetch fetch, RoutesPart part) {
     return fetch.builder != null
         && part.part() == fetch.nextPart
         && part.version() == fetch.version
@@ -171,26 +177,26 @@
         && (fetch.baseVersion == 0 || fetch.baseVersion == table.version());
   }
 
-  private void askOn(Fetch fetch, long nowMs) {
-    boolean whole = fetch.baseVersion == 0;
-    ask(fetch, fetch.baseVersion, whole ? 0 : table.digest(), nowMs);
+  private void requestNextPart(Fetch fetch, long nowMs) {
+    boolean fullTable = fetch.baseVersion == 0;
+    requestPart(fetch, fetch.baseVersion, fullTable ? 0 : table.digest(), nowMs);
   }
 
-  private void finish(Fetch fetch, RoutesPart last, long nowMs) {
+  private void onLastPart(Fetch fetch, RoutesPart last, long nowMs) {
     RouteTable built = fetch.builder.build(fetch.version);
     if (built.digest() == last.digest()) {
       current = Optional.empty();
       table = built;
       effects.add(
           new Effect.TableActivated(
-              built, fetch.source, last.partCount(), nowMs - fetch.beganAtMs));
-      beginIfBehind(nowMs);
+              built, fetch.source, last.partCount(), nowMs - fetch.startedAtMs));
+      startIfOutdated(nowMs);
     } else if (fetch.baseVersion == 0) {
-      giveUp("the digest differs", nowMs);
+      failCurrent("the digest differs", nowMs);
     } else {
       effects.add(new Effect.DownloadFailed(fetch.source, fetch.version, "the digest differs"));
       fetch.nextPart = 0;
-      ask(fetch, 0, 0, nowMs);
+      requestPart(fetch, 0, 0, nowMs);
     }
   }
 }
--- a/core/src/main/java/io/hingehoist/route/RouteTable.java
+++ b/core/src/main/java/io/hingehoist/route/RouteTable.java
@@ -15,7 +15,7 @@
   private final long version;
   private final long digest;
 
-  /** By host, then by prefix in their order. */
+  /** The routes by host, then by prefix in lexicographic order. */
   private final Map<String, TreeMap<String, Route>> byHost;
 
   private RouteTable(long version, long digest, Map<String, TreeMap<String, Route>> byHost) {
@@ -24,12 +24,14 @@
     this.byHost = byHost;
   }
 
-  /** Returns the table before any configuration. */
+  /** Returns the empty table of version 0, which holds before any configuration. */
   public static RouteTable empty() {
     return EMPTY;
   }
 
-  /** Returns a table; of two routes at one place the later one. */
+  /**
+   * Returns a table of the given routes. The last route of a host and prefix replaces earlier ones.
+   */
   public static RouteTable of(long version, List<Route> routes) {
     Builder builder = EMPTY.toBuilder();
     routes.forEach(builder::put);
@@ -41,7 +43,7 @@
     return version;
   }
 
-  /** Returns a number that differs between tables whose routes differ, but for a rare chance. */
+  /** Returns a 64-bit hash of all routes. Tables with different routes rarely have the same one. */
   long digest() {
     return digest;
   }
@@ -53,47 +55,48 @@
     return routes;
   }
 
-  Optional<Route> at(RoutePlace place) {
+  Optional<Route> routeAt(RoutePlace place) {
     return Optional.ofNullable(byHost.get(place.host()))
         .map(prefixes -> prefixes.get(place.prefix()));
   }
 
   /**
-   * Returns the route of a request: of its host, the one with the longest prefix of the path. Takes
-   * a few steps of a search, however many routes the host has.
+   * Returns the route of a request: the route of its host with the longest prefix of the path.
+   * Needs a few lookups in a sorted map, however many routes the host has.
    */
   public Optional<Route> find(String host, String path) {
     TreeMap<String, Route> prefixes = byHost.get(host);
-    String sought = path;
+    String key = path;
     while (prefixes != null) {
-      Map.Entry<String, Route> below = prefixes.floorEntry(sought);
-      if (below == null) {
+      Map.Entry<String, Route> floor = prefixes.floorEntry(key);
+      if (floor == null) {
         return Optional.empty();
       }
-      if (path.startsWith(below.getKey())) {
-        return Optional.of(below.getValue());
+      if (path.startsWith(floor.getKey())) {
+        return Optional.of(floor.getValue());
       }
-      // A prefix of the path is one of what the path shares with its neighbour as well.
-      sought = path.substring(0, sharedLength(path, below.getKey()));
+      // Any prefix of the path among the remaining routes sorts before this entry, so it is also a
+      // prefix of the part that the path shares with this entry.
+      key = path.substring(0, commonPrefixLength(path, floor.getKey()));
     }
     return Optional.empty();
   }
 
-  private static int sharedLength(String a, String b) {
-    int most = Math.min(a.length(), b.length());
+  private static int commonPrefixLength(String a, String b) {
+    int maxLength = Math.min(a.length(), b.length());
     int length = 0;
-    while (length < most && a.charAt(length) == b.charAt(length)) {
+    while (length < maxLength && a.charAt(length) == b.charAt(length)) {
       length++;
     }
     return length;
   }
 
-  /** Returns a builder that begins with these routes. */
+  /** Returns a builder that contains the routes of this table. */
   Builder toBuilder() {
     return new Builder(this);
   }
 
-  /** Builds a table from another by what differs. Not thread-safe. */
+  /** Builds a table from the changes to another one. Not thread-safe. */
   static final class Builder {
     private final RouteTable base;
     private final Map<String, TreeMap<String, Route>> byHost;
@@ -106,35 +109,35 @@
     }
 
     void put(Route route) {
-      Route former = prefixes(route.host()).put(route.prefix(), route);
-      if (former != null) {
-        digest -= former.digest();
+      Route previous = modifiableRoutes(route.host()).put(route.prefix(), route);
+      if (previous != null) {
+        digest -= previous.digest();
       }
       digest += route.digest();
     }
 
     void remove(RoutePlace place) {
-      Route former = prefixes(place.host()).remove(place.prefix());
-      if (former != null) {
-        digest -= former.digest();
+      Route previous = modifiableRoutes(place.host()).remove(place.prefix());
+      if (previous != null) {
+        digest -= previous.digest();
       }
       if (byHost.get(place.host()).isEmpty()) {
         byHost.remove(place.host());
       }
     }
 
-    /** The prefixes of a host are copied before their first change: the base keeps its own. */
-    private TreeMap<String, Route> prefixes(String host) {
-      TreeMap<String, Route> held = byHost.get(host);
-      if (held == null) {
+    /** Returns the routes of a host for modification, copied first if the base table uses them. */
+    private TreeMap<String, Route> modifiableRoutes(String host) {
+      TreeMap<String, Route> current = byHost.get(host);
+      if (current == null) {
         TreeMap<String, Route> added = new TreeMap<>();
         byHost.put(host, added);
         return added;
       }
-      if (held != base.byHost.get(host)) {
-        return held;
+      if (current != base.byHost.get(host)) {
+        return current;
       }
-      TreeMap<String, Route> copied = new TreeMap<>(held);
+      TreeMap<String, Route> copied = new TreeMap<>(current);
       byHost.put(host, copied);
       return copied;
     }
--- a/core/src/main/java/io/hingehoist/worker/JobLedger.java
+++ b/core/src/main/java/io/hingehoist/worker/JobLedger.java
@@ -8,18 +8,21 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What an agent remembers of one job. Owned by its {@link TaskLedger}. */
+/**
+ * An agent's record of one job: the tasks that it started and the grants that it must not start.
+ * Not thread-safe: confined to the agent's control thread.
+ */
 final class JobLedger {
 
-  /** A task that was started here. */
-  record Started(TaskState state, String result, long ranMicros, int grantNumber) {
-    static Started running(int grantNumber) {
-      return new Started(TaskState.RUNNING, "", 0, grantNumber);
+  /** A task that this agent started. */
+  record StartedTask(TaskState state, String result, long ranMicros, int grantNumber) {
+    static StartedTask running(int grantNumber) {
+      return new StartedTask(TaskState.RUNNING, "", 0, grantNumber);
     }
   }
 
   private final long admittedAtMs;
-  private final Map<Integer, Started> started = new HashMap<>();
+  private final Map<Integer, StartedTask> startedTasks = new HashMap<>();
   private final Map<Integer, Integer> revokedGrants = new HashMap<>();
   private long epoch;
   private long connectionId;
@@ -37,7 +40,10 @@
     return epoch;
   }
 
-  /** Shuts out lower epochs, for good. A new epoch numbers its grants anew. */
+  /**
+   * Raises the epoch, which permanently bars lower ones. Clears the revoked grants, because each
+   * epoch numbers its grants independently.
+   */
   void raiseEpoch(long newEpoch) {
     if (newEpoch > epoch) {
       epoch = newEpoch;
@@ -49,8 +55,8 @@
     return connectionId;
   }
 
-  /** Binds the job to the connection that its reports go to. */
-  void bind(long newConnectionId) {
+  /** Sets the connection on which the job's tasks are reported. */
+  void bindConnection(long newConnectionId) {
     connectionId = newConnectionId;
   }
 
@@ -58,27 +64,27 @@
     return retired;
   }
 
-  /** Notes that the outcome of the job is committed. */
-  void retire() {
+  /** Records that the outcome of the job is committed. */
+  void markRetired() {
     retired = true;
   }
 
-  Optional<Started> started(int taskIndex) {
-    return Optional.ofNullable(started.get(taskIndex));
+  Optional<StartedTask> startedTask(int taskIndex) {
+    return Optional.ofNullable(startedTasks.get(taskIndex));
   }
 
-  void put(int taskIndex, Started task) {
-    started.put(taskIndex, task);
+  void putTask(int taskIndex, StartedTask task) {
+    startedTasks.put(taskIndex, task);
   }
 
-  /** Forgets a start that came to nothing, bars its grant, and returns the grant's number. */
-  int forgetStart(int taskIndex) {
-    int grantNumber = started.remove(taskIndex).grantNumber();
+  /** Removes a start that did not happen, revokes its grant, and returns the grant's number. */
+  int undoStart(int taskIndex) {
+    int grantNumber = startedTasks.remove(taskIndex).grantNumber();
     revoke(taskIndex, grantNumber);
     return grantNumber;
   }
 
-  /** Makes sure that a grant, and every one before it, never starts the task. */
+  /** Bars a grant and all earlier ones of the task from ever starting it. */
   void revoke(int taskIndex, int grantNumber) {
     revokedGrants.merge(taskIndex, grantNumber, Math::max);
   }
@@ -88,16 +94,16 @@
   }
 
   boolean hasStartedTasks() {
-    return !started.isEmpty();
+    return !startedTasks.isEmpty();
   }
 
   boolean hasRunningTasks() {
-    return started.values().stream().anyMatch(task -> task.state() == TaskState.RUNNING);
+    return startedTasks.values().stream().anyMatch(task -> task.state() == TaskState.RUNNING);
   }
 
   List<TaskReport> reports() {
     List<TaskReport> reports = new ArrayList<>();
-    started.forEach(
+    startedTasks.forEach(
         (index, task) -> reports.add(new TaskReport(index, task.state(), task.result())));
     return reports;
   }
--- a/core/src/main/java/io/hingehoist/worker/LedgerEffect.java
+++ b/core/src/main/java/io/hingehoist/worker/LedgerEffect.java
@@ -2,7 +2,7 @@
 
 import io.hingehoist.message.Message;
 
-/** Something that a {@link TaskLedger} asks its surroundings to do. */
+/** An action that a {@link TaskLedger} asks its caller to carry out. */
 public sealed interface LedgerEffect {
 
   /** Sends a message on a connection, if it is still open. */
--- a/core/src/main/java/io/hingehoist/worker/CreditLedger.java
+++ b/core/src/main/java/io/hingehoist/worker/SlotAllocator.java
@@ -5,12 +5,14 @@
 import java.util.Optional;
 
 /**
- * Splits the slots of a worker among the entries that place by credit.
+ * Allocates the slots of a worker to the connections of entries, including those that place work by
+ * credit.
  *
- * <p>A slot is running, held as a credit by one entry, or free. An entry with a credit may start a
- * task without asking. Owned by its {@link TaskLedger}.
+ * <p>A slot is in use by a running task or request, held as a credit by one connection, or free. An
+ * entry may send one task per credit without asking for a slot first. Not thread-safe: confined to
+ * the agent's control thread.
  */
-final class CreditLedger {
+final class SlotAllocator {
   private static final class Holder {
     private int credits;
     private int running;
@@ -18,7 +20,7 @@
     private boolean waiting;
     private boolean recalled;
 
-    private int share() {
+    private int slotCount() {
       return credits + running;
     }
   }
@@ -27,7 +29,7 @@
   private final Map<Long, Holder> holders = new LinkedHashMap<>();
   private int running;
 
-  CreditLedger(int slots) {
+  SlotAllocator(int slots) {
     this.slots = slots;
   }
 
@@ -35,22 +37,22 @@
     return slots;
   }
 
-  /** Returns the slots that neither run a task nor are promised to an entry. */
+  /** Returns the number of slots that are neither in use nor held as credits. */
   int freeSlots() {
     int held = holders.values().stream().mapToInt(holder -> holder.credits).sum();
     return slots - running - held;
   }
 
-  int running() {
+  int runningCount() {
     return running;
   }
 
   /**
-   * Notes whether an entry holds work back; the first note makes it a holder of credits.
+   * Updates the demand of an entry, and subscribes it to credits or ends its subscription.
    *
-   * @param waiting the pieces that wait; below 0 where the entry no longer places by credit
+   * @param waiting the number of waiting pieces of work; below 0 to end the subscription
    */
-  void noteDemand(long connectionId, int waiting) {
+  void updateDemand(long connectionId, int waiting) {
     Holder holder = holder(connectionId);
     holder.subscribed = waiting >= 0;
     holder.waiting = waiting > 0;
@@ -63,18 +65,18 @@
     return holders.computeIfAbsent(connectionId, id -> new Holder());
   }
 
-  /** Returns the slots that run or are promised to other connections than one. */
+  /** Returns the number of slots that connections other than the given one use or hold. */
   int busyForOthers(long connectionId) {
     Holder own = holders.get(connectionId);
-    return slots - freeSlots() - (own == null ? 0 : own.share());
+    return slots - freeSlots() - (own == null ? 0 : own.slotCount());
   }
 
   void remove(long connectionId) {
     holders.remove(connectionId);
   }
 
-  /** Takes a slot for a task, from the credits of the entry first; returns whether there is one. */
-  boolean takeSlot(long connectionId) {
+  /** Acquires a slot, preferably from the connection's credits; returns whether there was one. */
+  boolean tryAcquireSlot(long connectionId) {
     Holder holder = holder(connectionId);
     boolean hasCredit = holder.credits > 0;
     if (!hasCredit && freeSlots() <= 0) {
@@ -86,7 +88,7 @@
     return true;
   }
 
-  /** Gives the slot of an ended task back. */
+  /** Frees the slot of an ended task or request. */
   void releaseSlot(long connectionId) {
     running--;
     Holder holder = holders.get(connectionId);
@@ -103,13 +105,16 @@
     }
   }
 
-  /** Grants free slots: to entries that wait first, then to those with the smallest share. */
+  /**
+   * Grants the free slots to subscribed connections: to those with waiting work if there are any,
+   * and among these to the one with the fewest slots. Returns the new credits by connection.
+   */
   Map<Long, Integer> distribute() {
     Map<Long, Integer> grants = new LinkedHashMap<>();
     int free = freeSlots();
-    boolean anyoneSubscribed = holders.values().stream().anyMatch(holder -> holder.subscribed);
-    while (free > 0 && anyoneSubscribed) {
-      long receiver = neediest();
+    boolean anySubscribed = holders.values().stream().anyMatch(holder -> holder.subscribed);
+    while (free > 0 && anySubscribed) {
+      long receiver = nextReceiver();
       holders.get(receiver).credits++;
       grants.merge(receiver, 1, Integer::sum);
       free--;
@@ -117,32 +122,33 @@
     return grants;
   }
 
-  private long neediest() {
-    boolean someoneWaits = holders.values().stream().anyMatch(holder -> holder.waiting);
+  private long nextReceiver() {
+    boolean anyWaiting = holders.values().stream().anyMatch(holder -> holder.waiting);
     return holders.entrySet().stream()
         .filter(e -> e.getValue().subscribed)
-        .filter(e -> e.getValue().waiting || !someoneWaits)
-        .min((a, b) -> Integer.compare(a.getValue().share(), b.getValue().share()))
+        .filter(e -> e.getValue().waiting || !anyWaiting)
+        .min((a, b) -> Integer.compare(a.getValue().slotCount(), b.getValue().slotCount()))
         .orElseThrow()
         .getKey();
   }
 
-  /** A number of credits to ask back from an entry. */
+  /** A request to a connection to return a number of credits. */
   record Recall(long connectionId, int credits) {}
 
   /**
-   * Returns a recall from an entry that does not wait, while another one waits without a credit.
+   * Returns a recall of credits from a connection without waiting work, if another one has waiting
+   * work but no credit.
    */
-  Optional<Recall> dueRecall() {
-    boolean someoneShort =
+  Optional<Recall> nextRecall() {
+    boolean anyShort =
         holders.values().stream().anyMatch(holder -> holder.waiting && holder.credits == 0);
-    if (!someoneShort || freeSlots() > 0) {
+    if (!anyShort || freeSlots() > 0) {
       return Optional.empty();
     }
     for (Map.Entry<Long, Holder> entry : holders.entrySet()) {
       Holder holder = entry.getValue();
-      boolean spare = !holder.waiting && !holder.recalled && holder.credits > 0;
-      if (spare) {
+      boolean recallable = !holder.waiting && !holder.recalled && holder.credits > 0;
+      if (recallable) {
         holder.recalled = true;
         return Optional.of(new Recall(entry.getKey(), holder.credits));
       }
--- a/core/src/main/java/io/hingehoist/worker/TaskLedger.java
+++ b/core/src/main/java/io/hingehoist/worker/TaskLedger.java
@@ -28,20 +28,21 @@
 import java.util.function.IntFunction;
 
 /**
- * Decides for an agent what starts, and remembers it so that nothing starts twice.
+ * Decides which tasks and requests an agent starts, and remembers the started tasks so that none
+ * starts twice.
  *
- * <p>A task starts at most once in an incarnation of the agent. What was started stays known until
- * its job is older than the retention, at which point grants for it are refused by age. A grant
+ * <p>A task starts at most once in an incarnation of the agent. Started tasks are remembered until
+ * their job is older than the retention, from which time grants for it are refused by age. A grant
  * that was answered with "not started" can never start its task later. Times are milliseconds of a
- * clock that never goes back, except {@code admittedAtMs} and the floor, which are of the
- * replicated clock. Not thread-safe: the agent's control thread owns it.
+ * monotonic clock, except {@code admittedAtMs} and the floor, which are of the replicated clock.
+ * Not thread-safe: confined to the agent's control thread.
  */
 public final class TaskLedger {
   private final String agentId;
-  private final CreditLedger slots;
+  private final SlotAllocator slots;
   private final Map<Long, JobLedger> jobs = new HashMap<>();
   private final Map<Long, Long> retiredJobs = new HashMap<>();
-  private final Map<RunKey, Long> slotTakers = new HashMap<>();
+  private final Map<RunKey, Long> slotOwners = new HashMap<>();
   private final List<LedgerEffect> effects = new ArrayList<>();
   private long incarnation;
   private long leaseUntilMs = Long.MIN_VALUE;
@@ -51,57 +52,63 @@
   private TaskLedger(String agentId, long incarnation, int slots) {
     this.agentId = agentId;
     this.incarnation = incarnation;
-    this.slots = new CreditLedger(slots);
+    this.slots = new SlotAllocator(slots);
   }
 
-  /** Creates an empty ledger without a lease: it starts nothing before it has one. */
+  /** Returns an empty ledger, which starts nothing before it has a lease. */
   public static TaskLedger create(String agentId, long incarnation, int slots) {
     if (slots < 1) {
-      throw new IllegalArgumentException("slots " + slots + " must be at least 1");
+      throw new IllegalArgumentException("slots must be at least 1: " + slots);
     }
     return new TaskLedger(agentId, incarnation, slots);
   }
 
-  /** Returns the incarnation under which tasks are started. */
+  /** Returns the agent's current incarnation. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** Returns the number of tasks and requests that run. */
-  public int running() {
-    return slots.running();
+  /** Returns the number of running tasks and requests. */
+  public int runningCount() {
+    return slots.runningCount();
   }
 
-  /** Returns whether the agent takes no new work. */
+  /** Returns whether the agent refuses new work. */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Returns the number of jobs that are remembered. */
+  /** Returns the number of remembered jobs, including the retired ones. */
   public int rememberedJobs() {
     return jobs.size() + retiredJobs.size();
   }
 
-  /** Returns whether nothing runs and every job with a task started here has its outcome. */
+  /** Returns whether nothing runs and every job with tasks started here is retired. */
   public boolean isSettled() {
-    boolean owed =
+    boolean anyUnretired =
         jobs.values().stream().anyMatch(job -> job.hasStartedTasks() && !job.isRetired());
-    return slots.running() == 0 && !owed;
+    return slots.runningCount() == 0 && !anyUnretired;
   }
 
   /**
-   * Takes on a new incarnation after the control replicas have ended the old one. What was started
-   * stays known; grants to the old incarnation are refused from now on.
+   * Switches to a new incarnation after the control replicas have ended the old one. Started tasks
+   * stay remembered; grants to the old incarnation are refused from now on.
    */
   public void renewIncarnation(long newIncarnation) {
     if (newIncarnation <= incarnation) {
       throw new IllegalArgumentException(
-          "incarnation " + newIncarnation + " must be above " + incarnation);
+          "incarnation must be greater than " + incarnation + ": " + newIncarnation);
     }
     incarnation = newIncarnation;
   }
 
-  /** Notes a lease: until then new work is taken, and jobs older than the floor are forgotten. */
+  /**
+   * Extends the lease, during which new work may start, and forgets jobs that were admitted before
+   * the floor and have no running tasks.
+   *
+   * @param untilMs the end of the lease
+   * @param newFloorMs the earliest time of admission that is still remembered
+   */
   public void onLease(long untilMs, long newFloorMs) {
     leaseUntilMs = Math.max(leaseUntilMs, untilMs);
     if (newFloorMs > floorMs) {
@@ -111,35 +118,35 @@
     }
   }
 
-  /** Drops the lease: this box may have slept, and the lease may be over. */
+  /** Drops the lease, which may have expired while this box was suspended. */
   public void dropLease() {
     leaseUntilMs = Long.MIN_VALUE;
   }
 
-  /** Returns whether the lease is fresh. */
+  /** Returns whether the agent has a valid lease. */
   public boolean hasLease(long nowMs) {
     return nowMs < leaseUntilMs;
   }
 
-  /** Starts or ends the refusal of new work. */
+  /** Sets whether the agent refuses new work. */
   public void setDraining(boolean newDraining) {
     draining = newDraining;
   }
 
-  /** Returns the status that opens a connection to an entry, or tells it of a change. */
+  /** Returns the status to send to an entry on a new connection or after a change. */
   public AgentStatus statusFor(long connectionId) {
     return new AgentStatus(
         agentId, incarnation, draining, slots.slots(), slots.busyForOthers(connectionId));
   }
 
-  /** Forgets a connection; its credits return to the others. */
+  /** Handles the loss of a connection, whose credits go to the other connections. */
   public List<LedgerEffect> onDisconnected(long connectionId) {
     slots.remove(connectionId);
-    settleCredits(OptionalLong.empty(), credits -> null);
+    distributeCredits(OptionalLong.empty(), credits -> null);
     return drainEffects();
   }
 
-  /** Takes a message from an entry in. */
+  /** Handles a message from an entry. */
   public List<LedgerEffect> onMessage(long connectionId, Message message, long nowMs) {
     switch (message) {
       case StartTask start -> onStartTask(connectionId, start, nowMs);
@@ -149,37 +156,37 @@
       case RunRequest run -> onRunRequest(connectionId, run, nowMs);
       case CreditDemand demand -> onCreditDemand(connectionId, demand);
       case CreditReturn returned -> onCreditReturn(connectionId, returned);
-      default -> throw new IllegalArgumentException("not a message from an entry: " + message);
+      default -> throw new IllegalArgumentException("unexpected message from an entry: " + message);
     }
     return drainEffects();
   }
 
   private void onStartTask(long connectionId, StartTask start, long nowMs) {
-    Optional<NotStartedReason> barred = barredByJob(start);
-    if (barred.isPresent()) {
-      refuse(connectionId, start, barred.get());
+    Optional<NotStartedReason> jobRefusal = refusalByJob(start);
+    if (jobRefusal.isPresent()) {
+      refuse(connectionId, start, jobRefusal.get());
       return;
     }
     JobLedger job = jobs.computeIfAbsent(start.jobId(), id -> new JobLedger(start.admittedAtMs()));
     job.raiseEpoch(start.epoch());
-    job.bind(connectionId);
-    Optional<JobLedger.Started> known = job.started(start.taskIndex());
+    job.bindConnection(connectionId);
+    Optional<JobLedger.StartedTask> known = job.startedTask(start.taskIndex());
     if (known.isPresent()) {
       report(connectionId, start.jobId(), start.taskIndex(), known.get());
       return;
     }
-    Optional<NotStartedReason> refusal = refusalNow(connectionId, job, start, nowMs);
+    Optional<NotStartedReason> refusal = refusalOfStart(connectionId, job, start, nowMs);
     if (refusal.isPresent()) {
       job.revoke(start.taskIndex(), start.grantNumber());
       refuse(connectionId, start, refusal.get());
       return;
     }
-    job.put(start.taskIndex(), JobLedger.Started.running(start.grantNumber()));
+    job.putTask(start.taskIndex(), JobLedger.StartedTask.running(start.grantNumber()));
     RunKey key = new RunKey.JobTask(start.jobId(), start.taskIndex());
-    run(connectionId, key, start.payload(), start.timeoutMs());
+    startRun(connectionId, key, start.payload(), start.timeoutMs());
   }
 
-  private Optional<NotStartedReason> barredByJob(StartTask start) {
+  private Optional<NotStartedReason> refusalByJob(StartTask start) {
     if (start.agentIncarnation() != incarnation) {
       return Optional.of(NotStartedReason.WRONG_INCARNATION);
     }
@@ -194,8 +201,8 @@
     return Optional.empty();
   }
 
-  /** The slot is taken last, when nothing else speaks against the start. */
-  private Optional<NotStartedReason> refusalNow(
+  /** Returns why a grant can't start its task now. Acquires a slot if there is no other reason. */
+  private Optional<NotStartedReason> refusalOfStart(
       long connectionId, JobLedger job, StartTask start, long nowMs) {
     if (job.isRevoked(start.taskIndex(), start.grantNumber())) {
       return Optional.of(NotStartedReason.REVOKED);
@@ -210,38 +217,40 @@
     if (!hasLease(nowMs)) {
       return Optional.of(NotStartedReason.NO_LEASE);
     }
-    if (!slots.takeSlot(connectionId)) {
+    if (!slots.tryAcquireSlot(connectionId)) {
       return Optional.of(NotStartedReason.SLOTS_FULL);
     }
     return Optional.empty();
   }
 
   private void refuse(long connectionId, StartTask start, NotStartedReason reason) {
-    notStarted(
+    sendNotStarted(
         connectionId, start.jobId(), start.epoch(), start.taskIndex(), start.grantNumber(), reason);
   }
 
-  private void notStarted(
+  private void sendNotStarted(
       long connectionId,
       long jobId,
       long epoch,
       int taskIndex,
-      int grant,
+      int grantNumber,
       NotStartedReason reason) {
-    int busy = slots.busyForOthers(connectionId);
-    send(connectionId, new TaskNotStarted(jobId, epoch, taskIndex, grant, reason, busy, 0));
+    int busyForOthers = slots.busyForOthers(connectionId);
+    send(
+        connectionId,
+        new TaskNotStarted(jobId, epoch, taskIndex, grantNumber, reason, busyForOthers, 0));
   }
 
-  private void report(long connectionId, long jobId, int taskIndex, JobLedger.Started task) {
+  private void report(long connectionId, long jobId, int taskIndex, JobLedger.StartedTask task) {
     if (task.state() == TaskState.RUNNING) {
       send(connectionId, new TaskRunning(jobId, taskIndex));
     } else {
-      send(connectionId, finished(connectionId, jobId, taskIndex, task, 0));
+      send(connectionId, toTaskFinished(connectionId, jobId, taskIndex, task, 0));
     }
   }
 
-  private TaskFinished finished(
-      long connectionId, long jobId, int index, JobLedger.Started task, int credits) {
+  private TaskFinished toTaskFinished(
+      long connectionId, long jobId, int index, JobLedger.StartedTask task, int credits) {
     return new TaskFinished(
         jobId,
         index,
@@ -255,20 +264,20 @@
   private void onRevokeTask(long connectionId, RevokeTask revoke) {
     JobLedger job = jobs.get(revoke.jobId());
     if (job != null && revoke.epoch() >= job.epoch()) {
-      job.bind(connectionId);
+      job.bindConnection(connectionId);
     }
-    Optional<JobLedger.Started> known =
-        job == null ? Optional.empty() : job.started(revoke.taskIndex());
+    Optional<JobLedger.StartedTask> known =
+        job == null ? Optional.empty() : job.startedTask(revoke.taskIndex());
     if (known.isPresent()) {
       report(connectionId, revoke.jobId(), revoke.taskIndex(), known.get());
       return;
     }
     if (!retiredJobs.containsKey(revoke.jobId())) {
-      JobLedger kept =
+      JobLedger barredJob =
           jobs.computeIfAbsent(revoke.jobId(), id -> new JobLedger(revoke.admittedAtMs()));
-      bar(kept, revoke);
+      revokeGrant(barredJob, revoke);
     }
-    notStarted(
+    sendNotStarted(
         connectionId,
         revoke.jobId(),
         revoke.epoch(),
@@ -277,7 +286,7 @@
         NotStartedReason.REVOKED);
   }
 
-  private static void bar(JobLedger job, RevokeTask revoke) {
+  private static void revokeGrant(JobLedger job, RevokeTask revoke) {
     if (revoke.epoch() >= job.epoch()) {
       job.raiseEpoch(revoke.epoch());
       job.revoke(revoke.taskIndex(), revoke.grantNumber());
@@ -286,7 +295,7 @@
 
   private void onFenceJob(long connectionId, FenceJob fence) {
     if (retiredJobs.containsKey(fence.jobId())) {
-      // The outcome stands in the log, so the asker is about to hear that it is late.
+      // The outcome is committed, so the entry is about to learn that its takeover came too late.
       return;
     }
     JobLedger job = jobs.computeIfAbsent(fence.jobId(), id -> new JobLedger(fence.admittedAtMs()));
@@ -294,7 +303,7 @@
       return;
     }
     job.raiseEpoch(fence.epoch());
-    job.bind(connectionId);
+    job.bindConnection(connectionId);
     send(connectionId, new FenceReport(fence.jobId(), fence.epoch(), incarnation, job.reports()));
   }
 
@@ -302,14 +311,14 @@
     for (long jobId : retire.jobIds()) {
       JobLedger job = jobs.get(jobId);
       if (job != null) {
-        job.retire();
-        shrinkIfOver(jobId, job);
+        job.markRetired();
+        compactIfRetired(jobId, job);
       }
     }
   }
 
-  /** Of a job that is over, only its number and age are kept: they bar every grant for it. */
-  private void shrinkIfOver(long jobId, JobLedger job) {
+  /** Reduces a retired job to its id and time of admission, which suffice to refuse its grants. */
+  private void compactIfRetired(long jobId, JobLedger job) {
     if (job.isRetired() && !job.hasRunningTasks()) {
       jobs.remove(jobId);
       retiredJobs.put(jobId, job.admittedAtMs());
@@ -325,10 +334,10 @@
       return;
     }
     RunKey key = new RunKey.Request(connectionId, run.requestId());
-    run(connectionId, key, run.payload(), run.timeoutMs());
+    startRun(connectionId, key, run.payload(), run.timeoutMs());
   }
 
-  /** Takes the backend server's answer in. */
+  /** Handles the end of a run at the backend server. */
   public List<LedgerEffect> onRunEnded(RunKey key, TaskState state, String result, long ranMicros) {
     switch (key) {
       case RunKey.JobTask task -> onTaskEnded(task, state, result, ranMicros);
@@ -338,15 +347,15 @@
   }
 
   /**
-   * Takes in that the backend server took no connection, so that the payload surely did not run.
-   * The grant can't start it any more; another one may.
+   * Handles a run for which the backend server accepted no connection, so that the payload
+   * certainly did not run. The grant is barred from starting the task; a later grant may start it.
    */
   public List<LedgerEffect> onBackendUnreachable(RunKey key) {
     switch (key) {
-      case RunKey.JobTask task -> onTaskNotRun(task);
+      case RunKey.JobTask task -> onTaskBackendUnreachable(task);
       case RunKey.Request request -> {
         releaseSlot(request);
-        settleCredits(
+        distributeCredits(
             OptionalLong.of(request.connectionId()),
             credits ->
                 new RunRefused(
@@ -359,11 +368,11 @@
     return drainEffects();
   }
 
-  private void onTaskNotRun(RunKey.JobTask task) {
+  private void onTaskBackendUnreachable(RunKey.JobTask task) {
     JobLedger job = jobs.get(task.jobId());
-    int grantNumber = job.forgetStart(task.taskIndex());
+    int grantNumber = job.undoStart(task.taskIndex());
     releaseSlot(task);
-    settleCredits(
+    distributeCredits(
         OptionalLong.of(job.connectionId()),
         credits ->
             new TaskNotStarted(
@@ -378,20 +387,21 @@
 
   private void onTaskEnded(RunKey.JobTask task, TaskState state, String result, long ranMicros) {
     JobLedger job = jobs.get(task.jobId());
-    JobLedger.Started ended =
-        new JobLedger.Started(state, job.isRetired() ? "" : result, ranMicros, 0);
-    job.put(task.taskIndex(), ended);
-    shrinkIfOver(task.jobId(), job);
+    JobLedger.StartedTask ended =
+        new JobLedger.StartedTask(state, job.isRetired() ? "" : result, ranMicros, 0);
+    job.putTask(task.taskIndex(), ended);
+    compactIfRetired(task.jobId(), job);
     releaseSlot(task);
-    settleCredits(
+    distributeCredits(
         OptionalLong.of(job.connectionId()),
-        credits -> finished(job.connectionId(), task.jobId(), task.taskIndex(), ended, credits));
+        credits ->
+            toTaskFinished(job.connectionId(), task.jobId(), task.taskIndex(), ended, credits));
   }
 
   private void onRequestEnded(
       RunKey.Request request, TaskState state, String result, long ranMicros) {
     releaseSlot(request);
-    settleCredits(
+    distributeCredits(
         OptionalLong.of(request.connectionId()),
         credits ->
             new RunResponse(
@@ -403,36 +413,36 @@
                 credits));
   }
 
-  private void run(long connectionId, RunKey key, String payload, long timeoutMs) {
-    slotTakers.put(key, connectionId);
+  private void startRun(long connectionId, RunKey key, String payload, long timeoutMs) {
+    slotOwners.put(key, connectionId);
     effects.add(new LedgerEffect.Run(key, payload, timeoutMs));
   }
 
-  /** The slot goes back to the connection that took it, even if another one has asked since. */
+  /** Frees the slot for the connection that acquired it, even if the job uses another one now. */
   private void releaseSlot(RunKey key) {
-    slots.releaseSlot(slotTakers.remove(key));
+    slots.releaseSlot(slotOwners.remove(key));
   }
 
   private void onCreditDemand(long connectionId, CreditDemand demand) {
-    slots.noteDemand(connectionId, demand.waiting());
-    settleCredits(OptionalLong.empty(), credits -> null);
+    slots.updateDemand(connectionId, demand.waiting());
+    distributeCredits(OptionalLong.empty(), credits -> null);
   }
 
   private void onCreditReturn(long connectionId, CreditReturn returned) {
     slots.returnCredits(connectionId, returned.credits());
-    settleCredits(OptionalLong.empty(), credits -> null);
+    distributeCredits(OptionalLong.empty(), credits -> null);
   }
 
-  /** Hands free slots out; the credits of the entry that is answered ride on the answer. */
-  private void settleCredits(OptionalLong answered, IntFunction<Message> answer) {
+  /** Grants free slots. Credits for the connection of the response are included in the response. */
+  private void distributeCredits(OptionalLong respondedTo, IntFunction<Message> response) {
     Map<Long, Integer> grants = slots.distribute();
-    if (answered.isPresent()) {
-      Integer riding = grants.remove(answered.getAsLong());
-      send(answered.getAsLong(), answer.apply(riding == null ? 0 : riding));
+    if (respondedTo.isPresent()) {
+      Integer credits = grants.remove(respondedTo.getAsLong());
+      send(respondedTo.getAsLong(), response.apply(credits == null ? 0 : credits));
     }
     grants.forEach((connection, credits) -> send(connection, new CreditGrant(credits)));
     slots
-        .dueRecall()
+        .nextRecall()
         .ifPresent(recall -> send(recall.connectionId(), new CreditRecall(recall.credits())));
   }
 
--- a/core/src/main/java/io/hingehoist/worker/package-info.java
+++ b/core/src/main/java/io/hingehoist/worker/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The decisions of an agent: which tasks it starts, what it remembers of them, and who may fill its
- * slots.
+ * The decisions of an agent: which tasks it starts, what it remembers of them, and which entries
+ * may use its slots.
  *
- * <p>Begin with {@link io.hingehoist.worker.TaskLedger}. No thread, socket, clock or file here.
+ * <p>Start with {@link io.hingehoist.worker.TaskLedger}. The classes of this package use no
+ * threads, sockets, clocks or files.
  */
 package io.hingehoist.worker;
--- a/core/src/test/java/io/hingehoist/dispatch/OnceGroup.java
+++ b/core/src/test/java/io/hingehoist/dispatch/DispatchSimulation.java
@@ -41,24 +41,25 @@
 import java.util.function.Consumer;
 
 /**
- * Entries, agents and one applied log, with messages, time and failures played by a test in any
- * order. It counts every start at a backend server by itself.
+ * Simulates entries, agents and the applied log. The test decides the order of messages, the
+ * passing of time, and the failures. Counts the starts at backend servers independently of the
+ * tested code.
  */
-final class OnceGroup {
+final class DispatchSimulation {
   static final long LEASE_MS = 300;
   static final long MEMBER_TIMEOUT_MS = 500;
   static final int TASKS = 4;
 
-  /** A proposal on its way to the log; the proposer may be gone when it is applied. */
+  /** A proposal that is not applied yet. Its proposer may have ended when it is applied. */
   record Proposal(Command command, Consumer<CommandResult> answer) {}
 
-  /** A connection: messages arrive in order, or not at all once it is broken. */
+  /** A connection. Messages arrive in order, or not at all after the connection has broken. */
   static final class Connection {
     final long id;
     final Deque<Message> toAgent = new ArrayDeque<>();
     final Deque<Message> toEntry = new ArrayDeque<>();
 
-    /** Whether the network holds back what the entry sent, to deliver it late. */
+    /** Whether the network delays the messages of the entry. */
     boolean stalled;
 
     Connection(long id) {
@@ -72,10 +73,10 @@
     Dispatcher dispatcher;
     boolean frozen;
     boolean alive;
-    long heardAtMs;
+    long heartbeatAtMs;
     long membersVersion;
     final Map<String, Connection> connections = new TreeMap<>();
-    final Map<String, Boolean> opened = new HashMap<>();
+    final Map<String, Boolean> statusReceived = new HashMap<>();
     final Set<String> memberIds = new HashSet<>();
 
     Entry(String id) {
@@ -104,14 +105,14 @@
         incarnation = ++incarnations;
         apply(new RegisterEntry(id, incarnation, "", "z"));
       }
-      heardAtMs = nowMs;
+      heartbeatAtMs = nowMs;
       state
           .membersSince(membersVersion)
           .ifPresent(
               members -> {
                 membersVersion = members.version();
                 carryOut(dispatcher.onMembers(members.agents(), nowMs));
-                closeOthers(members);
+                closeNonMembers(members);
               });
       carryOut(dispatcher.onLease(nowMs + LEASE_MS, 0, nowMs));
       for (OwnedJob owned : state.adoptedBy(id, incarnation, dispatcher.ownedJobIds())) {
@@ -120,8 +121,8 @@
       }
     }
 
-    /** Closes the connections to agents that are no members, as an entry does. */
-    private void closeOthers(MembersUpdate members) {
+    /** Closes the connections to agents that are not members, as an entry does. */
+    private void closeNonMembers(MembersUpdate members) {
       memberIds.clear();
       members.agents().forEach(info -> memberIds.add(info.agentId()));
       for (Agent agent : agents) {
@@ -150,8 +151,8 @@
           new Proposal(
               admit,
               result -> {
-                boolean mine = alive && dispatcher == submitting;
-                if (mine
+                boolean sameProcess = alive && dispatcher == submitting;
+                if (sameProcess
                     && incarnation == submittingIncarnation
                     && result instanceof Admitted admitted) {
                   JobRow row = state.job(admitted.jobId()).orElseThrow();
@@ -198,7 +199,7 @@
     final String id;
     TaskLedger ledger;
     boolean frozen;
-    long heardAtMs;
+    long heartbeatAtMs;
     final List<RunKey> running = new ArrayList<>();
     final Map<RunKey, String> payloads = new HashMap<>();
 
@@ -213,7 +214,7 @@
       heartbeat();
     }
 
-    /** Loses all that the agent knew. What it started goes on at the backend server, unheard. */
+    /** Restarts the agent without its ledger. Its runs continue, but their results are lost. */
     void restart() {
       entries.forEach(entry -> breakConnection(entry, this));
       start();
@@ -226,17 +227,17 @@
           ledger.renewIncarnation(++incarnations);
         }
         apply(new RegisterAgent(id, ledger.incarnation(), "a", "z", "s", 3, 64));
-        tellEntries();
+        sendStatusToEntries();
       }
-      heardAtMs = nowMs;
+      heartbeatAtMs = nowMs;
       boolean hadLease = ledger.hasLease(nowMs);
       ledger.onLease(nowMs + LEASE_MS, 0);
       if (!hadLease) {
-        tellEntries();
+        sendStatusToEntries();
       }
     }
 
-    private void tellEntries() {
+    private void sendStatusToEntries() {
       entries.forEach(
           entry -> {
             Connection connection = entry.connections.get(id);
@@ -260,10 +261,10 @@
           case LedgerEffect.Run run -> {
             running.add(run.key());
             payloads.put(run.key(), run.payload());
-            // One backend server in twenty takes no connection, so nothing starts there.
+            // For one run in twenty, the backend server accepts no connection, so nothing starts.
             if (random.nextInt(20) > 0) {
-              starts.merge(run.payload(), 1, Integer::sum);
-              assertEquals((int) starts.get(run.payload()), 1, "started: " + run.payload());
+              startCounts.merge(run.payload(), 1, Integer::sum);
+              assertEquals((int) startCounts.get(run.payload()), 1, "starts of " + run.payload());
             } else {
               payloads.remove(run.key());
             }
@@ -272,7 +273,7 @@
       }
     }
 
-    void finishOne() {
+    void finishOneRun() {
       if (!running.isEmpty()) {
         RunKey key = running.remove(random.nextInt(running.size()));
         String payload = payloads.get(key);
@@ -291,13 +292,13 @@
   final List<Entry> entries = new ArrayList<>();
   final List<Agent> agents = new ArrayList<>();
   final List<Proposal> proposals = new ArrayList<>();
-  final Map<String, Integer> starts = new HashMap<>();
+  final Map<String, Integer> startCounts = new HashMap<>();
   long nowMs = 1_000;
   private long index;
   private long incarnations;
   private long connectionIds;
 
-  OnceGroup(long seed) {
+  DispatchSimulation(long seed) {
     random = new Random(seed);
     for (int i = 0; i < 3; i++) {
       agents.add(new Agent("agent-" + i));
@@ -322,16 +323,18 @@
   }
 
   void connect(Entry entry, Agent agent) {
-    boolean able = entry.alive && !entry.frozen && !agent.frozen;
-    if (able && entry.memberIds.contains(agent.id) && !entry.connections.containsKey(agent.id)) {
+    boolean canConnect = entry.alive && !entry.frozen && !agent.frozen;
+    if (canConnect
+        && entry.memberIds.contains(agent.id)
+        && !entry.connections.containsKey(agent.id)) {
       Connection connection = new Connection(++connectionIds);
       entry.connections.put(agent.id, connection);
-      entry.opened.put(agent.id, false);
+      entry.statusReceived.put(agent.id, false);
       connection.toEntry.add(agent.ledger.statusFor(connection.id));
     }
   }
 
-  void stallOrRelease(Entry entry, Agent agent) {
+  void toggleStalled(Entry entry, Agent agent) {
     Connection connection = entry.connections.get(agent.id);
     if (connection != null) {
       connection.stalled = !connection.stalled;
@@ -348,39 +351,39 @@
     }
   }
 
-  void deliver(Entry entry, Agent agent, boolean forward) {
+  void deliver(Entry entry, Agent agent, boolean toAgent) {
     Connection connection = entry.connections.get(agent.id);
     if (connection == null) {
       return;
     }
-    if (forward && !agent.frozen && !connection.stalled && !connection.toAgent.isEmpty()) {
+    if (toAgent && !agent.frozen && !connection.stalled && !connection.toAgent.isEmpty()) {
       Message message = connection.toAgent.remove();
       agent.carryOut(agent.ledger.onMessage(connection.id, message, nowMs));
     }
-    if (!forward && entry.alive && !entry.frozen && !connection.toEntry.isEmpty()) {
+    if (!toAgent && entry.alive && !entry.frozen && !connection.toEntry.isEmpty()) {
       receive(entry, agent, connection.toEntry.remove());
     }
   }
 
   private void receive(Entry entry, Agent agent, Message message) {
     if (message instanceof AgentStatus status) {
-      boolean opens = !entry.opened.put(agent.id, true);
-      entry.carryOut(entry.dispatcher.onAgentStatus(status, opens, nowMs));
+      boolean newConnection = !entry.statusReceived.put(agent.id, true);
+      entry.carryOut(entry.dispatcher.onAgentStatus(status, newConnection, nowMs));
     } else {
       entry.carryOut(entry.dispatcher.onAgentMessage(agent.id, message, nowMs));
     }
   }
 
-  /** Does what the leader does about members that it does not hear. */
+  /** Ends the members without a recent heartbeat, as the leader does. */
   void endSilentMembers() {
     for (Entry entry : entries) {
-      boolean silent = nowMs - entry.heardAtMs > MEMBER_TIMEOUT_MS;
+      boolean silent = nowMs - entry.heartbeatAtMs > MEMBER_TIMEOUT_MS;
       if (silent && state.isLiveEntry(entry.id, entry.incarnation)) {
         apply(new EndEntry(entry.id, entry.incarnation, "silent"));
       }
     }
     for (Agent agent : agents) {
-      boolean silent = nowMs - agent.heardAtMs > MEMBER_TIMEOUT_MS;
+      boolean silent = nowMs - agent.heartbeatAtMs > MEMBER_TIMEOUT_MS;
       long incarnation = agent.ledger.incarnation();
       if (silent && state.isCurrentAgent(agent.id, incarnation)) {
         apply(new ChangeAgentState(agent.id, incarnation, MemberState.GONE, "silent", "control"));
@@ -388,8 +391,8 @@
     }
   }
 
-  /** Lets everything work without failure until nothing is left to do. */
-  void calmDown() {
+  /** Runs the simulation without failures for long enough that every job ends. */
+  void runWithoutFailures() {
     for (int round = 0; round < 400; round++) {
       nowMs += 10;
       for (Entry entry : entries) {
@@ -410,13 +413,13 @@
         entries.forEach(e -> agents.forEach(a -> deliver(e, a, true)));
         entries.forEach(e -> agents.forEach(a -> deliver(e, a, false)));
       }
-      agents.forEach(Agent::finishOne);
+      agents.forEach(Agent::finishOneRun);
       entries.forEach(entry -> entry.carryOut(entry.dispatcher.onTick(nowMs)));
     }
   }
 
-  /** Checks that a complete job has the result of each of its tasks, in order. */
-  static void checkWhole(JobRow row) {
+  /** Checks that a job has an outcome and, if complete, the results of all its tasks in order. */
+  static void checkOutcome(JobRow row) {
     JobOutcome outcome = row.outcome().orElseThrow(() -> new AssertionError("no outcome: " + row));
     if (outcome.status() == OutcomeStatus.COMPLETE) {
       List<String> expected = new ArrayList<>();
--- a/core/src/test/java/io/hingehoist/dispatch/StartOnceTest.java
+++ b/core/src/test/java/io/hingehoist/dispatch/StartOnceTest.java
@@ -11,11 +11,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Plays entries, agents and the log in many random orders, with failures. */
+/** Tests entries, agents and the replicated log with random orders of events and failures. */
 public final class StartOnceTest {
   private static final int STEPS = 3_000;
 
-  private final Map<Boolean, Integer> ended = new HashMap<>();
+  private final Map<Boolean, Integer> jobCountByCompleteness = new HashMap<>();
 
   @DataProvider
   public Object[][] seeds() {
@@ -26,75 +26,77 @@
     return seeds;
   }
 
-  /** Kills, freezes and broken connections never start a task twice or leave a job without end. */
+  /** Guards against repeated starts and unended jobs after kills, freezes and lost connections. */
   @Test(dataProvider = "seeds")
   public void noTaskStartsTwiceAndEveryJobEnds(long seed) {
-    OnceGroup group = new OnceGroup(seed);
+    DispatchSimulation simulation = new DispatchSimulation(seed);
     int submitted = 0;
     for (int step = 0; step < STEPS; step++) {
-      if (group.random.nextInt(100) == 0) {
+      if (simulation.random.nextInt(100) == 0) {
         String id = "job-" + submitted++ / 2;
-        OnceGroup.Entry entry = group.entries.get(group.random.nextInt(2));
+        DispatchSimulation.Entry entry = simulation.entries.get(simulation.random.nextInt(2));
         if (entry.alive && !entry.frozen) {
           entry.submit(id);
         }
       }
-      playOne(group);
-      group.nowMs += group.random.nextInt(4);
+      performRandomEvent(simulation);
+      simulation.nowMs += simulation.random.nextInt(4);
     }
-    group.calmDown();
+    simulation.runWithoutFailures();
     for (int job = 0; job <= submitted / 2; job++) {
-      Optional<JobRow> row = group.state.job("c", "job-" + job);
+      Optional<JobRow> row = simulation.state.job("c", "job-" + job);
       if (row.isPresent()) {
-        OnceGroup.checkWhole(row.get());
+        DispatchSimulation.checkOutcome(row.get());
         boolean complete = row.get().outcome().orElseThrow().status() == OutcomeStatus.COMPLETE;
-        ended.merge(complete, 1, Integer::sum);
+        jobCountByCompleteness.merge(complete, 1, Integer::sum);
       }
     }
   }
 
-  /** Makes sure that the orders played lead to both ends, often. */
+  /** Checks that the random orders often lead to both outcomes, so that both are tested. */
   @AfterClass
-  public void checkThatBothEndsWereReached() {
-    assertTrue(ended.get(true) > 500 && ended.get(false) > 500, "ends reached: " + ended);
+  public void checkThatBothOutcomesOccurred() {
+    assertTrue(
+        jobCountByCompleteness.get(true) > 500 && jobCountByCompleteness.get(false) > 500,
+        "jobs by completeness: " + jobCountByCompleteness);
   }
 
-  private static void playOne(OnceGroup group) {
-    OnceGroup.Entry entry = group.entries.get(group.random.nextInt(2));
-    OnceGroup.Agent agent = group.agents.get(group.random.nextInt(3));
-    int dice = group.random.nextInt(1_000);
-    if (dice < 300) {
-      group.deliver(entry, agent, true);
-    } else if (dice < 600) {
-      group.deliver(entry, agent, false);
-    } else if (dice < 700) {
-      agent.finishOne();
-    } else if (dice < 760) {
-      group.applyOneProposal();
-    } else if (dice < 850) {
+  private static void performRandomEvent(DispatchSimulation simulation) {
+    DispatchSimulation.Entry entry = simulation.entries.get(simulation.random.nextInt(2));
+    DispatchSimulation.Agent agent = simulation.agents.get(simulation.random.nextInt(3));
+    int draw = simulation.random.nextInt(1_000);
+    if (draw < 300) {
+      simulation.deliver(entry, agent, true);
+    } else if (draw < 600) {
+      simulation.deliver(entry, agent, false);
+    } else if (draw < 700) {
+      agent.finishOneRun();
+    } else if (draw < 760) {
+      simulation.applyOneProposal();
+    } else if (draw < 850) {
       heartbeat(entry, agent);
-    } else if (dice < 870) {
-      group.connect(entry, agent);
-    } else if (dice < 875) {
-      group.breakConnection(entry, agent);
-    } else if (dice < 878) {
+    } else if (draw < 870) {
+      simulation.connect(entry, agent);
+    } else if (draw < 875) {
+      simulation.breakConnection(entry, agent);
+    } else if (draw < 878) {
       entry.frozen = !entry.frozen;
-    } else if (dice < 881) {
+    } else if (draw < 881) {
       agent.frozen = !agent.frozen;
-    } else if (dice < 883) {
+    } else if (draw < 883) {
       restart(entry);
-    } else if (dice == 883) {
+    } else if (draw == 883) {
       agent.restart();
-    } else if (dice < 888) {
-      group.stallOrRelease(entry, agent);
-    } else if (dice < 940) {
-      group.endSilentMembers();
+    } else if (draw < 888) {
+      simulation.toggleStalled(entry, agent);
+    } else if (draw < 940) {
+      simulation.endSilentMembers();
     } else if (entry.alive && !entry.frozen) {
-      entry.carryOut(entry.dispatcher.onTick(group.nowMs));
+      entry.carryOut(entry.dispatcher.onTick(simulation.nowMs));
     }
   }
 
-  private static void heartbeat(OnceGroup.Entry entry, OnceGroup.Agent agent) {
+  private static void heartbeat(DispatchSimulation.Entry entry, DispatchSimulation.Agent agent) {
     if (entry.alive && !entry.frozen) {
       entry.heartbeat();
     }
@@ -103,7 +105,7 @@
     }
   }
 
-  private static void restart(OnceGroup.Entry entry) {
+  private static void restart(DispatchSimulation.Entry entry) {
     if (entry.alive) {
       entry.kill();
     } else {
--- a/core/src/test/java/io/hingehoist/route/RouteTableTest.java
+++ b/core/src/test/java/io/hingehoist/route/RouteTableTest.java
@@ -12,7 +12,7 @@
   }
 
   @Test
-  public void theLongestPrefixOfTheHostWins() {
+  public void theLongestPrefixOfTheHostIsFound() {
     RouteTable table =
         RouteTable.of(
             3, List.of(route("a", "h", "/x/"), route("b", "h", "/x/y/"), route("c", "g", "/")));
@@ -23,7 +23,7 @@
   }
 
   @Test
-  public void aNeighbourInTheOrderOfPrefixesHidesNoShorterOne() {
+  public void anAdjacentPrefixInSortOrderDoesNotHideAShorterOne() {
     RouteTable table =
         RouteTable.of(
             3, List.of(route("a", "h", "/x"), route("b", "h", "/x/a/"), route("c", "h", "/x/b/c")));
--- a/core/src/test/java/io/hingehoist/worker/TaskLedgerTest.java
+++ b/core/src/test/java/io/hingehoist/worker/TaskLedgerTest.java
@@ -27,7 +27,7 @@
   private TaskLedger ledger;
 
   @BeforeMethod
-  public void createLedgerWithALease() {
+  public void createLedgerWithLease() {
     ledger = TaskLedger.create("w1", INCARNATION, 2);
     ledger.onLease(100, 0);
   }
@@ -40,17 +40,17 @@
     return ledger.onMessage(CONNECTION, message, 10);
   }
 
-  private static boolean runs(List<LedgerEffect> effects) {
+  private static boolean startsRun(List<LedgerEffect> effects) {
     return effects.stream().anyMatch(effect -> effect instanceof LedgerEffect.Run);
   }
 
-  private static Message sent(List<LedgerEffect> effects) {
+  private static Message firstMessage(List<LedgerEffect> effects) {
     return ((LedgerEffect.Send) effects.getFirst()).message();
   }
 
-  private static NotStartedReason reason(List<LedgerEffect> effects) {
-    assertFalse(runs(effects));
-    return ((TaskNotStarted) sent(effects)).reason();
+  private static NotStartedReason refusalReason(List<LedgerEffect> effects) {
+    assertFalse(startsRun(effects));
+    return ((TaskNotStarted) firstMessage(effects)).reason();
   }
 
   private void finish(long jobId, int index) {
@@ -59,96 +59,96 @@
 
   @Test
   public void aTaskStartsOnceHoweverOftenItIsGranted() {
-    assertTrue(runs(receive(start(1, 1, 0, 1))));
-    assertEquals(sent(receive(start(1, 1, 0, 2))), new TaskRunning(1, 0));
+    assertTrue(startsRun(receive(start(1, 1, 0, 1))));
+    assertEquals(firstMessage(receive(start(1, 1, 0, 2))), new TaskRunning(1, 0));
     finish(1, 0);
-    assertEquals(((TaskFinished) sent(receive(start(1, 2, 0, 1)))).result(), "r");
+    assertEquals(((TaskFinished) firstMessage(receive(start(1, 2, 0, 1)))).result(), "r");
   }
 
   @Test
-  public void aFenceShutsOutLowerEpochs() {
+  public void aFenceBarsLowerEpochs() {
     receive(new FenceJob(1, 2, ADMITTED_AT_MS));
-    assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.STALE_EPOCH);
-    assertTrue(runs(receive(start(1, 2, 0, 1))));
+    assertEquals(refusalReason(receive(start(1, 1, 0, 1))), NotStartedReason.STALE_EPOCH);
+    assertTrue(startsRun(receive(start(1, 2, 0, 1))));
   }
 
   @Test
-  public void aFenceReportsWhatWasStarted() {
+  public void aFenceReportListsTheStartedTasks() {
     receive(start(1, 1, 0, 1));
     receive(start(1, 1, 1, 1));
     finish(1, 0);
-    FenceReport report = (FenceReport) sent(receive(new FenceJob(1, 2, ADMITTED_AT_MS)));
+    FenceReport report = (FenceReport) firstMessage(receive(new FenceJob(1, 2, ADMITTED_AT_MS)));
     assertEquals(report.tasks().size(), 2);
     assertEquals(report.tasks().get(0).state(), TaskState.SUCCEEDED);
     assertEquals(report.tasks().get(1).state(), TaskState.RUNNING);
   }
 
   @Test
-  public void aGrantThatWasTakenBackNeverStarts() {
+  public void aRevokedGrantNeverStarts() {
     RevokeTask revoke = new RevokeTask(1, 1, 0, 1, ADMITTED_AT_MS);
-    assertEquals(reason(receive(revoke)), NotStartedReason.REVOKED);
-    assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.REVOKED);
-    assertTrue(runs(receive(start(1, 1, 0, 2))));
+    assertEquals(refusalReason(receive(revoke)), NotStartedReason.REVOKED);
+    assertEquals(refusalReason(receive(start(1, 1, 0, 1))), NotStartedReason.REVOKED);
+    assertTrue(startsRun(receive(start(1, 1, 0, 2))));
   }
 
   @Test
   public void aRefusedGrantNeverStartsLater() {
     receive(start(1, 1, 0, 1));
     receive(start(1, 1, 1, 1));
-    assertEquals(reason(receive(start(1, 1, 2, 1))), NotStartedReason.SLOTS_FULL);
+    assertEquals(refusalReason(receive(start(1, 1, 2, 1))), NotStartedReason.SLOTS_FULL);
     finish(1, 0);
-    assertEquals(reason(receive(start(1, 1, 2, 1))), NotStartedReason.REVOKED);
+    assertEquals(refusalReason(receive(start(1, 1, 2, 1))), NotStartedReason.REVOKED);
   }
 
   @Test
   public void aGrantToAnotherIncarnationIsRefused() {
     ledger.renewIncarnation(INCARNATION + 1);
-    assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.WRONG_INCARNATION);
+    assertEquals(refusalReason(receive(start(1, 1, 0, 1))), NotStartedReason.WRONG_INCARNATION);
   }
 
   @Test
-  public void withoutAFreshLeaseNothingStarts() {
+  public void nothingStartsWithoutAValidLease() {
     List<LedgerEffect> effects = ledger.onMessage(CONNECTION, start(1, 1, 0, 1), 100);
-    assertEquals(reason(effects), NotStartedReason.NO_LEASE);
+    assertEquals(refusalReason(effects), NotStartedReason.NO_LEASE);
   }
 
   @Test
   public void aDrainingAgentStartsNothing() {
     ledger.setDraining(true);
-    assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.DRAINING);
+    assertEquals(refusalReason(receive(start(1, 1, 0, 1))), NotStartedReason.DRAINING);
   }
 
   @Test
-  public void aRetiredJobStaysShut() {
+  public void grantsOfARetiredJobAreRefused() {
     receive(start(1, 1, 0, 1));
     finish(1, 0);
     receive(new RetireJobs(List.of(1L)));
-    assertEquals(reason(receive(start(1, 1, 1, 1))), NotStartedReason.RETIRED);
+    assertEquals(refusalReason(receive(start(1, 1, 1, 1))), NotStartedReason.RETIRED);
   }
 
   @Test
-  public void aForgottenJobIsShutByItsAge() {
+  public void grantsOfAForgottenJobAreRefusedByAge() {
     receive(start(1, 1, 0, 1));
     finish(1, 0);
     receive(new RetireJobs(List.of(1L)));
     ledger.onLease(100, ADMITTED_AT_MS + 1);
     assertEquals(ledger.rememberedJobs(), 0);
-    assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.RETIRED);
+    assertEquals(refusalReason(receive(start(1, 1, 0, 1))), NotStartedReason.RETIRED);
   }
 
   @Test
-  public void aTaskThatTheBackendServerNeverTookMayStartElsewhereButNotUnderTheSameGrant() {
+  public void aTaskWithoutAConnectionToTheBackendServerStartsOnlyUnderALaterGrant() {
     receive(start(1, 1, 0, 1));
     TaskNotStarted answer =
-        (TaskNotStarted) sent(ledger.onBackendUnreachable(new RunKey.JobTask(1, 0)));
+        (TaskNotStarted) firstMessage(ledger.onBackendUnreachable(new RunKey.JobTask(1, 0)));
     assertEquals(answer.reason(), NotStartedReason.BACKEND_UNREACHABLE);
     assertEquals(answer.grantNumber(), 1);
-    assertEquals(reason(receive(start(1, 1, 0, 1))), NotStartedReason.REVOKED);
-    assertTrue(runs(receive(start(1, 1, 0, 2))));
+    assertEquals(refusalReason(receive(start(1, 1, 0, 1))), NotStartedReason.REVOKED);
+    assertTrue(startsRun(receive(start(1, 1, 0, 2))));
   }
 
   @Test
-  public void anAgentIsSettledOnceItsJobsHaveTheirOutcome() {
+  public void anAgentIsSettledOnceItsJobsAreRetired() {
     receive(start(1, 1, 0, 1));
     finish(1, 0);
     assertFalse(ledger.isSettled());
