--- a/core/src/main/java/io/hingehoist/dispatch/RequestDispatch.java
+++ b/core/src/main/java/io/hingehoist/dispatch/RequestDispatch.java
@@ -101,7 +101,7 @@
   void onAgentLost(String agentId, List<Work> inFlight) {
     for (Work work : inFlight) {
       if (work instanceof RequestWork request && request.isOpen()) {
-        onAttemptLost(agentId, request, "lost the connection to agent " + agentId);
+        onAttemptLost(agentId, request, "the connection to agent " + agentId + " was lost");
       }
     }
   }
--- a/core/src/main/java/io/hingehoist/placement/PlacementPolicy.java
+++ b/core/src/main/java/io/hingehoist/placement/PlacementPolicy.java
@@ -33,7 +33,7 @@
       case "twoChoices" -> new TwoChoices();
       case "leastOutstanding" -> new LeastOutstanding();
       case "slotCredits" -> new SlotCredits();
-      default -> throw new IllegalArgumentException("unknown placement policy \"" + name + "\"");
+      default -> throw new IllegalArgumentException("unknown placement policy: " + name);
     };
   }
 
--- a/core/src/main/java/io/hingehoist/route/RouteDeltas.java
+++ b/core/src/main/java/io/hingehoist/route/RouteDeltas.java
@@ -66,7 +66,7 @@
     return put;
   }
 
-  /** Returns the elements of a list in a range that may extend beyond either end of the list. */
+  /** Returns the elements of a list in a range that may begin below 0 and end beyond the list. */
   private static <T> List<T> clampedSubList(List<T> all, int from, int length) {
     int first = Math.clamp(from, 0, all.size());
     int end = Math.clamp(from + length, 0, all.size());
--- a/core/src/main/java/io/hingehoist/worker/TaskLedger.java
+++ b/core/src/main/java/io/hingehoist/worker/TaskLedger.java
@@ -58,7 +58,7 @@
   /** Returns an empty ledger, which starts nothing before it has a lease. */
   public static TaskLedger create(String agentId, long incarnation, int slots) {
     if (slots < 1) {
-      throw new IllegalArgumentException("slots must be at least 1: " + slots);
+      throw new IllegalArgumentException("slots " + slots + " must be at least 1");
     }
     return new TaskLedger(agentId, incarnation, slots);
   }
@@ -97,7 +97,7 @@
   public void renewIncarnation(long newIncarnation) {
     if (newIncarnation <= incarnation) {
       throw new IllegalArgumentException(
-          "incarnation must be greater than " + incarnation + ": " + newIncarnation);
+          "incarnation " + newIncarnation + " must be greater than " + incarnation);
     }
     incarnation = newIncarnation;
   }
--- a/core/src/test/java/io/hingehoist/route/RouteDownloadTest.java
+++ b/core/src/test/java/io/hingehoist/route/RouteDownloadTest.java
@@ -99,7 +99,7 @@
     assertEquals(download.table().routes().size(), MANY_ROUTES);
     assertTrue(
         largestPart <= RouteDeltas.UPDATE_ROUTES_PER_PART,
-        "largest part: " + largestPart + " routes");
+        "routes in the largest part: " + largestPart);
     assertEquals(activated.getFirst().durationMs(), 10);
   }
 
