--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -222,7 +222,8 @@
       return;
     }
     long sinceMs = session.silentSinceMs(session.channel.get());
-    if (silenceDetector.isSilent(sinceMs, session.isIdle() ? RunTiming.IDLE_SESSION_TIMEOUT_MS : leaseMs)) {
+    if (silenceDetector.isSilent(
+        sinceMs, session.isIdle() ? RunTiming.IDLE_SESSION_TIMEOUT_MS : leaseMs)) {
       endSession(hostId, true, nowMs);
     } else if (!session.silent
         && silenceDetector.isSilent(sinceMs, session.silenceTimeoutMs(nowMs))) {
