--- a/core/src/main/java/io/hingehoist/dispatch/ActiveJob.java
+++ b/core/src/main/java/io/hingehoist/dispatch/ActiveJob.java
@@ -137,7 +137,7 @@
     long characterCount = results.stream().mapToLong(String::length).sum();
     if (characterCount > MAX_RESULT_CHARACTERS) {
       fail(
-          "the results have %d characters in total; at most %d are allowed"
+          "the results have %d characters together, at most %d fit into an answer"
               .formatted(characterCount, MAX_RESULT_CHARACTERS));
       return;
     }
--- a/core/src/main/java/io/hingehoist/dispatch/AdmissionChecks.java
+++ b/core/src/main/java/io/hingehoist/dispatch/AdmissionChecks.java
@@ -21,23 +21,23 @@
     if (!policy.enabled()) {
       return refused(
           RefusalCause.DISABLED,
-          "the settings disable this service, job class or zone",
+          "settings have this work disabled",
           RETRY_LATER_MS);
     }
     if (!pool.hasWorkers(nowMs)) {
       return refused(
-          RefusalCause.NO_WORKERS, "no worker of the service accepts work", RETRY_SOON_MS);
+          RefusalCause.NO_WORKERS, "no worker takes work", RETRY_SOON_MS);
     }
     if (pool.waitingTasks() + tasks > policy.queueTasks() + pool.workers().size()) {
       return refused(
-          RefusalCause.QUEUE_FULL, "the queue of the service is full", retryAfterMs(pool));
+          RefusalCause.QUEUE_FULL, "too much work waits", retryAfterMs(pool));
     }
     double neededMs = pool.estimatedTimeMs(tasks, nowMs);
     if (nowMs + neededMs > deadlineMs) {
       long missingMs = (long) (nowMs + neededMs - deadlineMs);
       return refused(
           RefusalCause.DEADLINE,
-          "the work needs about %.0f ms, but its deadline is in %d ms"
+          "about %.0f ms are needed and %d ms are left"
               .formatted(neededMs, deadlineMs - nowMs),
           Math.max(MIN_RETRY_AFTER_MS, missingMs));
     }
--- a/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
+++ b/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
@@ -371,7 +371,7 @@
       String service, String jobClass, int tasks, long deadlineMs, long nowMs) {
     if (nowMs >= leaseUntilMs) {
       return AdmissionChecks.refused(
-          RefusalCause.NO_LEASE, "this entry has no valid lease", AdmissionChecks.RETRY_SOON_MS);
+          RefusalCause.NO_LEASE, "this entry has no fresh lease", AdmissionChecks.RETRY_SOON_MS);
     }
     ServicePolicy policy = policyAt(SettingsPath.of(service, jobClass, zone));
     return AdmissionChecks.refusalOf(pool(service), policy, tasks, deadlineMs, nowMs);
--- a/core/src/main/java/io/hingehoist/dispatch/JobSpec.java
+++ b/core/src/main/java/io/hingehoist/dispatch/JobSpec.java
@@ -24,7 +24,7 @@
   public JobSpec {
     payloads = List.copyOf(payloads);
     if (payloads.isEmpty()) {
-      throw new IllegalArgumentException("job " + jobId + ": payloads must not be empty");
+      throw new IllegalArgumentException("job " + jobId + " has no task");
     }
   }
 }
--- a/core/src/main/java/io/hingehoist/run/load/RefusalPolicy.java
+++ b/core/src/main/java/io/hingehoist/run/load/RefusalPolicy.java
@@ -50,7 +50,7 @@
   public static Optional<Refusal> refusalOfOversized(long fleetKnownForMs) {
     return fleetKnownForMs < FLEET_DISCOVERY_MS
         ? Optional.empty()
-        : Optional.of(new Refusal("a task needs more room than any worker has", RETRY_AFTER_MS));
+        : Optional.of(new Refusal("wider than every worker", RETRY_AFTER_MS));
   }
 
   /**
@@ -63,10 +63,10 @@
   public static Optional<Refusal> refusalOfUnstarted(
       long waitedMs, long expiresAfterMs, long withoutWorkersMs) {
     if (waitedMs >= MAX_UNSTARTED_SHARE * expiresAfterMs) {
-      return Optional.of(new Refusal("no worker had room in time", RETRY_AFTER_MS));
+      return Optional.of(new Refusal("no room in time", RETRY_AFTER_MS));
     }
     if (expiresAfterMs < MIN_EXPIRY_TO_WAIT_MS && withoutWorkersMs >= MAX_WITHOUT_WORKERS_MS) {
-      return Optional.of(new Refusal("no worker available", RETRY_AFTER_MS));
+      return Optional.of(new Refusal("no worker is known", RETRY_AFTER_MS));
     }
     return Optional.empty();
   }
--- a/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
+++ b/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
@@ -312,7 +312,7 @@
       case INVALID -> {
         if (task.recordFailure() >= task.job().plan().attempts()) {
           activeTasks.remove(task.name());
-          endJob(task.job(), new JobEnd.Failed("refused by workers as invalid"));
+          endJob(task.job(), new JobEnd.Failed("refused by workers"));
           return;
         }
       }
--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -124,15 +124,15 @@
     metrics.addGauge("hingehoist_host_workers", "Workers.", host.host::workerCount);
     metrics.addGauge(
         "hingehoist_host_starts_refused_for_zone",
-        "Runs refused because the zone is evacuated or its state is not known.",
+        "Runs refused as the zone is evacuated, or not known not to be.",
         host.host::refusedForZoneCount);
     metrics.addGauge(
         "hingehoist_host_unanswered_starts",
-        "Start calls without an answer.",
+        "Start calls that had no answer.",
         host.host::unansweredStartCount);
     metrics.addGauge(
         "hingehoist_host_unknown_ends",
-        "Ends of unknown runs that workers listed.",
+        "Ends that workers listed of runs that were not known.",
         host.host::unknownEndCount);
     ZoneGauges.add(metrics, host.host.zones());
     metrics.addGauge(
--- a/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
+++ b/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
@@ -43,7 +43,7 @@
       Counter.builder()
           .name("hingehoist_bad_frames_total")
           .withoutExemplars()
-          .help("Frames that could not be decoded; the connection was closed.")
+          .help("Frames that were not a message; the connection was closed.")
           .register(registry);
   private final Counter outcomes =
       Counter.builder()
@@ -63,7 +63,7 @@
       Counter.builder()
           .name("hingehoist_heartbeats_ignored_total")
           .withoutExemplars()
-          .help("Ignored heartbeats, by problem.")
+          .help("Heartbeats that name no worker to use, by what is wrong with them.")
           .labelNames("problem")
           .register(registry);
   private final Histogram answerSeconds =
--- a/daemon/src/main/java/io/hingehoist/net/ZoneGauges.java
+++ b/daemon/src/main/java/io/hingehoist/net/ZoneGauges.java
@@ -15,11 +15,11 @@
         zones::evacuatedCount);
     metrics.addGauge(
         "hingehoist_evacuated_zones_version",
-        "The version of the evacuated zones that this process knows; -1 before it knows any.",
+        "The version of the evacuations that this process knows; -1 before it has heard of one.",
         () -> zones.newest().map(newest -> (double) newest.version()).orElse(-1.0));
     metrics.addGauge(
         "hingehoist_evacuated_zones_age_seconds",
-        "Time since this process received that version.",
+        "Time since this process learned of that version.",
         () -> zones.ageMs(EventLoop.nowMs()) / 1_000.0);
   }
 }
