--- a/daemon/src/main/java/io/hingehoist/adapter/Adapter.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/Adapter.java
@@ -18,13 +18,13 @@
   RouteTable toRoutes(long version, Bytes configuration);
 
   /** Serves callers. */
-  HttpHandler frontDoor(JobIntake intake);
+  HttpHandler callerHandler(JobIntake intake);
 
   /** Serves operators. */
-  HttpHandler controlDoor(OperatorOrders orders);
+  HttpHandler operatorHandler(OperatorCommands orders);
 
   /** Serves workers that make themselves known. */
-  HttpHandler workerDoor(WorkerRegistry registry);
+  HttpHandler workerHandler(WorkerRegistry registry);
 
   /**
    * Makes calls to workers.
--- a/daemon/src/main/java/io/hingehoist/adapter/IgnoredHeartbeat.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/IgnoredHeartbeat.java
@@ -7,7 +7,7 @@
  * @param problem what is wrong with it
  * @param detail the field, its value and what is allowed
  */
-public record IgnoredHeartbeat(String writer, Problem problem, String detail) {
+public record IgnoredHeartbeat(String sender, Problem problem, String detail) {
 
   /** What may be wrong with a heartbeat. */
   public enum Problem {
--- a/daemon/src/main/java/io/hingehoist/adapter/JobIntake.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/JobIntake.java
@@ -26,20 +26,20 @@
   void readNewestRoutes(Consumer<Optional<RouteTable>> result);
 
   /** Returns whether this box is about to end, too soon for a job. */
-  boolean refuses(JobPlan plan);
+  boolean stopsTooSoonFor(JobPlan plan);
 
   /** Takes a job, or joins the one of the same name that is here. */
   void submit(JobPlan plan, Waiter waiter);
 
   /** Notes that a waiter is gone; a job that nobody waits for is dropped. */
-  void leave(String jobId, Waiter waiter);
+  void removeWaiter(String jobId, Waiter waiter);
 
   /** Ends a job here. Returns whether there was one. */
   boolean cancel(String jobId);
 
   /** Returns whether a job is here. */
-  boolean isHere(String jobId);
+  boolean hasJob(String jobId);
 
   /** Returns the number of jobs of a queue none of whose tasks was started. */
-  long pendingCount(String queue);
+  long unstartedJobCount(String queue);
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/OperatorOrders.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/OperatorCommands.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** What a control replica offers to operators. Used on the event loop. */
-public interface OperatorOrders {
+public interface OperatorCommands {
 
   /** What became of a request to the log. */
   sealed interface Result {
@@ -26,7 +26,7 @@
     record Newest(long version, Bytes content) implements Result {}
 
     /** Another replica leads; its address for frames is given if it is known. */
-    record Elsewhere(Optional<String> leaderAddress) implements Result {}
+    record NotLeader(Optional<String> leaderAddress) implements Result {}
 
     /** Nothing is known: the request may have been carried out. */
     record Unknown() implements Result {}
--- a/daemon/src/main/java/io/hingehoist/adapter/WorkerCalls.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/WorkerCalls.java
@@ -19,8 +19,8 @@
   void stop(HostEffect.StopCall call, Consumer<Boolean> answer);
 
   /** Renews a lease and asks for the runs. */
-  void hold(HostEffect.PollCall call, Consumer<PollResult> answer);
+  void poll(HostEffect.PollCall call, Consumer<PollResult> answer);
 
   /** Closes the connections to an address that no worker uses any more. */
-  void forget(String address);
+  void closeConnections(String address);
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/WorkerRegistry.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/WorkerRegistry.java
@@ -7,7 +7,7 @@
 public interface WorkerRegistry {
 
   /** Takes a worker's account of itself; returns why it names no worker to use, if it does not. */
-  Optional<IgnoredHeartbeat> workerSeen(WorkerInfo info);
+  Optional<IgnoredHeartbeat> workerHeartbeat(WorkerInfo info);
 
   /** Takes note of a heartbeat that names no worker. It changes nothing else. */
   void heartbeatIgnored(IgnoredHeartbeat heartbeat);
--- a/daemon/src/main/java/io/hingehoist/daemon/AdaptedProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AdaptedProcess.java
@@ -107,7 +107,7 @@
     if (!section.doorAddress().isEmpty()) {
       LocalOrders orders = LocalOrders.of(control, loop, OwnerNode.CONFIGURATION);
       HttpServer.open(
-          loop, section.doorAddress(), MAX_DOOR_BODY_BYTES, adapter.controlDoor(orders));
+          loop, section.doorAddress(), MAX_DOOR_BODY_BYTES, adapter.operatorHandler(orders));
     }
     serveMetrics(section.metricsAddress());
     watch(changed -> control.reload(changed.node()));
--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -98,7 +98,8 @@
             Addresses.firstNonEmpty(settings.bindAddress(), settings.listenAddress()),
             AnnouncementHandler::new,
             metrics);
-    HttpServer.open(loop, settings.workerDoorAddress(), MAX_BODY_BYTES, adapter.workerDoor(this));
+    HttpServer.open(
+        loop, settings.workerDoorAddress(), MAX_BODY_BYTES, adapter.workerHandler(this));
   }
 
   /**
@@ -182,8 +183,9 @@
       case HostEffect.StopCall call ->
           workers.stop(call, loop.settling(answered -> stopped(call, answered)));
       case HostEffect.PollCall call ->
-          workers.hold(call, loop.settling(answer -> listed(call, answer)));
-      case HostEffect.CloseConnections forget -> workers.forget(forget.address());
+          workers.poll(call, loop.settling(answer -> listed(call, answer)));
+      case HostEffect.CloseConnections closeConnections ->
+          workers.closeConnections(closeConnections.address());
       case HostEffect.SendToOwner to -> owners.send(to.sessionId(), to.message());
       case HostEffect.CloseSession session -> owners.close(session.sessionId());
       case HostEffect.LogDecision noted -> log.write(noted.decision());
@@ -217,7 +219,7 @@
   // What workers, owners and control replicas say.
 
   @Override
-  public Optional<IgnoredHeartbeat> workerSeen(WorkerInfo info) {
+  public Optional<IgnoredHeartbeat> workerHeartbeat(WorkerInfo info) {
     String own = settings.workerService();
     if (!own.isEmpty() && !info.service().equals(own)) {
       String detail =
@@ -237,10 +239,10 @@
     metrics.countIgnoredHeartbeat(problem);
     boolean isNew =
         ignoredNoted.size() < MAX_IGNORED_NOTED
-            && ignoredNoted.add(heartbeat.writer() + ' ' + problem);
+            && ignoredNoted.add(heartbeat.sender() + ' ' + problem);
     if (isNew) {
       String outcome = "problem=" + problem + ' ' + heartbeat.detail();
-      log.write("heartbeatIgnored", heartbeat.writer(), outcome);
+      log.write("heartbeatIgnored", heartbeat.sender(), outcome);
     }
   }
 
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -129,7 +129,7 @@
             metrics,
             new HostListener());
     this.front =
-        HttpServer.open(loop, settings.frontAddress(), MAX_BODY_BYTES, adapter.frontDoor(this));
+        HttpServer.open(loop, settings.frontAddress(), MAX_BODY_BYTES, adapter.callerHandler(this));
     if (!settings.readyAddress().isEmpty()) {
       HttpServer.open(loop, settings.readyAddress(), MAX_READY_BODY_BYTES, this::answerReady);
     }
@@ -276,7 +276,7 @@
   }
 
   @Override
-  public boolean refuses(JobPlan plan) {
+  public boolean stopsTooSoonFor(JobPlan plan) {
     double neededMs = STOP_SPARE_FACTOR * plan.objectiveMs();
     return stop.hasBegun() && stop.leftMs(EventLoop.nowMs()) < neededMs;
   }
@@ -292,7 +292,7 @@
   }
 
   @Override
-  public void leave(String jobId, Waiter waiter) {
+  public void removeWaiter(String jobId, Waiter waiter) {
     if (waiters.remove(jobId, waiter)) {
       jobs.drop(jobId, "caller left");
       loop.settleLater();
@@ -307,12 +307,12 @@
   }
 
   @Override
-  public boolean isHere(String jobId) {
+  public boolean hasJob(String jobId) {
     return takenAtMs.containsKey(jobId);
   }
 
   @Override
-  public long pendingCount(String queue) {
+  public long unstartedJobCount(String queue) {
     return jobs.unstartedJobCount(queue);
   }
 
--- a/daemon/src/main/java/io/hingehoist/quorum/LocalOrders.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/LocalOrders.java
@@ -1,6 +1,6 @@
 package io.hingehoist.quorum;
 
-import io.hingehoist.adapter.OperatorOrders;
+import io.hingehoist.adapter.OperatorCommands;
 import io.hingehoist.command.ChangeZone;
 import io.hingehoist.command.CommandResult;
 import io.hingehoist.command.DocumentAccepted;
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 
 /** Carries operators' orders out by the replica of this process. Owned by the event loop. */
-public final class LocalOrders implements OperatorOrders {
+public final class LocalOrders implements OperatorCommands {
   private static final long TIMEOUT_MS = 2_500;
 
   /** Who gives the orders, for the audit trail: the door does not learn more of them. */
@@ -103,7 +103,7 @@
     return switch (status) {
       case OK -> decode(answer);
       case NOT_LEADER ->
-          new Result.Elsewhere(leader.isEmpty() ? Optional.empty() : Optional.of(leader));
+          new Result.NotLeader(leader.isEmpty() ? Optional.empty() : Optional.of(leader));
       case UNAVAILABLE, INVALID -> new Result.Unknown();
     };
   }
--- a/daemon/src/test/java/io/hingehoist/quorum/FiveReplicasTest.java
+++ b/daemon/src/test/java/io/hingehoist/quorum/FiveReplicasTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 
-import io.hingehoist.adapter.OperatorOrders.Result;
+import io.hingehoist.adapter.OperatorCommands.Result;
 import io.hingehoist.command.GetReport;
 import io.hingehoist.command.QueryAnswer;
 import io.hingehoist.command.Report;
--- a/daemon/src/test/java/io/hingehoist/quorum/LargeDocumentTest.java
+++ b/daemon/src/test/java/io/hingehoist/quorum/LargeDocumentTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertTrue;
 
-import io.hingehoist.adapter.OperatorOrders.Result;
+import io.hingehoist.adapter.OperatorCommands.Result;
 import io.hingehoist.journal.Disk;
 import io.hingehoist.journal.Journal;
 import io.hingehoist.message.Announce;
