--- a/cli/src/main/java/io/hingehoist/cli/EntryClient.java
+++ b/cli/src/main/java/io/hingehoist/cli/EntryClient.java
@@ -17,11 +17,11 @@
 /** Talks to entries over HTTP, and turns to the next one if one does not answer. */
 final class EntryClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-  private static final Duration ANSWER_TIMEOUT = Duration.ofMinutes(11);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMinutes(11);
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** An entry's answer. */
-  record Reply(int status, JsonNode body) {
+  record Response(int status, JsonNode body) {
     boolean isOk() {
       return status / 100 == 2;
     }
@@ -38,40 +38,40 @@
     return JSON.createObjectNode();
   }
 
-  Reply get(String path) throws IOException {
+  Response get(String path) throws IOException {
     return send(path, HttpRequest.newBuilder().GET());
   }
 
-  Reply report(String report, String argument) throws IOException {
+  Response report(String report, String argument) throws IOException {
     String encoded = URLEncoder.encode(argument, StandardCharsets.UTF_8);
     return get("/v1/reports/" + report + "?argument=" + encoded);
   }
 
-  Reply post(String path, JsonNode body) throws IOException {
+  Response post(String path, JsonNode body) throws IOException {
     HttpRequest.BodyPublisher publisher = HttpRequest.BodyPublishers.ofString(body.toString());
     return send(
         path, HttpRequest.newBuilder().header("Content-Type", "application/json").POST(publisher));
   }
 
   /** What is sent again is the same request under the same id, so sending it twice is safe. */
-  private Reply send(String path, HttpRequest.Builder request) throws IOException {
-    IOException last = new IOException("no entry is named");
+  private Response send(String path, HttpRequest.Builder request) throws IOException {
+    IOException lastFailure = new IOException("no entry is named");
     for (String address : addresses) {
       try {
         URI uri = URI.create("http://" + address + path);
         HttpResponse<String> response =
             http.send(
-                request.uri(uri).timeout(ANSWER_TIMEOUT).build(),
+                request.uri(uri).timeout(RESPONSE_TIMEOUT).build(),
                 HttpResponse.BodyHandlers.ofString());
-        return new Reply(response.statusCode(), parse(response.body()));
+        return new Response(response.statusCode(), parse(response.body()));
       } catch (IOException e) {
-        last = new IOException(address + ": " + e, e);
+        lastFailure = new IOException(address + ": " + e, e);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         throw new IOException("interrupted", e);
       }
     }
-    throw last;
+    throw lastFailure;
   }
 
   private static JsonNode parse(String body) throws IOException {
--- a/cli/src/main/java/io/hingehoist/cli/ExplainAction.java
+++ b/cli/src/main/java/io/hingehoist/cli/ExplainCommand.java
@@ -15,7 +15,7 @@
 @Parameters(
     commandDescription =
         "Shows what logs say of a job, in order; reads standard input without --file")
-final class ExplainAction implements Action {
+final class ExplainCommand implements Command {
   @Parameter(description = "ID of the job", required = true)
   private String jobId;
 
@@ -24,12 +24,12 @@
 
   @Override
   public ExitCode run(EntryClient client, Output output) throws IOException {
-    JobStory story = JobStory.of(jobId, readLines().stream());
-    if (story.isEmpty()) {
+    JobTimeline timeline = JobTimeline.of(jobId, readLines().stream());
+    if (timeline.isEmpty()) {
       System.err.println("id: value \"" + jobId + "\" is in none of the lines");
       return ExitCode.REFUSED;
     }
-    output.write(story.toJson(), story.toText());
+    output.write(timeline.toJson(), timeline.toText());
     return ExitCode.OK;
   }
 
--- a/cli/src/main/java/io/hingehoist/cli/JobActions.java
+++ b/cli/src/main/java/io/hingehoist/cli/JobCommands.java
@@ -12,31 +12,31 @@
 import java.util.UUID;
 
 /** The commands under {@code hingehoist job}. */
-final class JobActions {
+final class JobCommands {
   private static final int PROGRESS_WAIT_MS = 1_000;
-  private static final int RUNNING = 202;
+  private static final int STATUS_RUNNING = 202;
 
-  private JobActions() {}
+  private JobCommands() {}
 
   /** Follows a job to its end and shows how far it is. */
   private static ExitCode follow(
       EntryClient client, Output output, String caller, String submissionId) throws IOException {
     String path = "/v1/jobs/" + caller + "/" + submissionId + "?waitMs=" + PROGRESS_WAIT_MS;
-    EntryClient.Reply reply = client.get(path);
-    while (reply.status() == RUNNING) {
-      JsonNode body = reply.body();
+    EntryClient.Response response = client.get(path);
+    while (response.status() == STATUS_RUNNING) {
+      JsonNode body = response.body();
       output.progress(
           "running: %s of %d tasks finished"
               .formatted(
                   body.has("finishedTasks") ? body.get("finishedTasks").asText() : "?",
                   body.path("taskCount").asInt()));
-      reply = client.get(path);
+      response = client.get(path);
     }
-    return write(reply, output);
+    return write(response, output);
   }
 
-  private static ExitCode write(EntryClient.Reply reply, Output output) {
-    JsonNode body = reply.body();
+  private static ExitCode write(EntryClient.Response response, Output output) {
+    JsonNode body = response.body();
     StringBuilder text = new StringBuilder();
     text.append(body.path("outcome").asText()).append(System.lineSeparator());
     for (String field : List.of("cause", "reason", "retryAfterMs", "finishedTasks", "taskCount")) {
@@ -48,11 +48,11 @@
       text.append(result.asText()).append(System.lineSeparator());
     }
     output.write(body, text);
-    return Output.codeOf(reply);
+    return Output.exitCodeOf(response);
   }
 
   @Parameters(commandDescription = "Submits a job, one task a line of a file, and follows it")
-  static final class Submit implements Action {
+  static final class Submit implements Command {
     @Parameter(names = "--service", required = true, description = "Service that runs the tasks")
     private String service;
 
@@ -99,15 +99,15 @@
       }
       output.progress(
           "submission %s of %s, submitted at %d".formatted(submissionId, caller, submittedAtMs));
-      EntryClient.Reply reply = client.post("/v1/jobs?wait=false", body);
-      return reply.status() == RUNNING
+      EntryClient.Response response = client.post("/v1/jobs?wait=false", body);
+      return response.status() == STATUS_RUNNING
           ? follow(client, output, caller, submissionId)
-          : write(reply, output);
+          : write(response, output);
     }
   }
 
   @Parameters(commandDescription = "Shows what is known of a submission")
-  static final class Status implements Action {
+  static final class Status implements Command {
     @Parameter(names = "--caller", description = "Who submitted")
     private String caller = System.getProperty("user.name");
 
--- a/cli/src/main/java/io/hingehoist/cli/JobStory.java
+++ b/cli/src/main/java/io/hingehoist/cli/JobTimeline.java
@@ -16,11 +16,11 @@
  * What the logs of all processes say of one job, in order of time: each line that names the job,
  * and each change of a host, worker or owner that such a line names.
  */
-final class JobStory {
+final class JobTimeline {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   /** Events that tell of a process and not of a job. */
-  private static final Set<String> SURROUNDINGS =
+  private static final Set<String> CONTEXT_EVENTS =
       Set.of(
           "hostFound",
           "hostLost",
@@ -39,7 +39,7 @@
 
   private final List<JsonNode> lines;
 
-  private JobStory(List<JsonNode> lines) {
+  private JobTimeline(List<JsonNode> lines) {
     this.lines = lines;
   }
 
@@ -48,33 +48,35 @@
    *
    * @param log the lines of logs; what stands before the first brace of a line is passed over
    */
-  static JobStory of(String jobId, Stream<String> log) {
-    List<JsonNode> all = log.map(JobStory::parse).flatMap(Optional::stream).toList();
-    List<JsonNode> own = new ArrayList<>();
+  static JobTimeline of(String jobId, Stream<String> log) {
+    List<JsonNode> all = log.map(JobTimeline::parse).flatMap(Optional::stream).toList();
+    List<JsonNode> jobLines = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (JsonNode line : all) {
       if (line.path("job").asText().equals(jobId)) {
-        own.add(line);
+        jobLines.add(line);
         names.add(line.path("where").asText());
         names.add(line.path("node").asText());
       }
     }
-    if (own.isEmpty()) {
-      return new JobStory(List.of());
+    if (jobLines.isEmpty()) {
+      return new JobTimeline(List.of());
     }
-    long fromMs = atMs(own.stream().min(Comparator.comparingLong(JobStory::atMs)).orElseThrow());
-    long toMs = atMs(own.stream().max(Comparator.comparingLong(JobStory::atMs)).orElseThrow());
-    List<JsonNode> story = new ArrayList<>(own);
+    long fromMs =
+        atMs(jobLines.stream().min(Comparator.comparingLong(JobTimeline::atMs)).orElseThrow());
+    long toMs =
+        atMs(jobLines.stream().max(Comparator.comparingLong(JobTimeline::atMs)).orElseThrow());
+    List<JsonNode> timeline = new ArrayList<>(jobLines);
     for (JsonNode line : all) {
-      boolean near = atMs(line) >= fromMs && atMs(line) <= toMs;
-      boolean known =
+      boolean withinJob = atMs(line) >= fromMs && atMs(line) <= toMs;
+      boolean namesSameProcess =
           names.contains(line.path("where").asText()) || names.contains(line.path("node").asText());
-      if (near && known && SURROUNDINGS.contains(line.path("event").asText())) {
-        story.add(line);
+      if (withinJob && namesSameProcess && CONTEXT_EVENTS.contains(line.path("event").asText())) {
+        timeline.add(line);
       }
     }
-    story.sort(Comparator.comparingLong(JobStory::atMs));
-    return new JobStory(story);
+    timeline.sort(Comparator.comparingLong(JobTimeline::atMs));
+    return new JobTimeline(timeline);
   }
 
   private static long atMs(JsonNode line) {
--- a/cli/src/main/java/io/hingehoist/cli/Main.java
+++ b/cli/src/main/java/io/hingehoist/cli/Main.java
@@ -10,7 +10,7 @@
 public final class Main {
 
   /** Parameters of every command. */
-  private static final class Common {
+  private static final class CommonOptions {
     @Parameter(
         names = "--entry",
         description = "Addresses of entries, tried in order; HINGEHOIST_ENTRY if missing")
@@ -23,13 +23,13 @@
     private boolean help;
 
     private static List<String> defaultEntries() {
-      String named = System.getenv("HINGEHOIST_ENTRY");
-      return List.of((named == null ? "127.0.0.1:8080" : named).split(","));
+      String fromEnvironment = System.getenv("HINGEHOIST_ENTRY");
+      return List.of((fromEnvironment == null ? "127.0.0.1:8080" : fromEnvironment).split(","));
     }
   }
 
   /** Parameters of a group of commands, or of a command's own help. */
-  private static final class Group {
+  private static final class CommandGroup {
     @Parameter(names = "--help", help = true, description = "Show this")
     private boolean help;
   }
@@ -42,30 +42,30 @@
   }
 
   private static ExitCode run(String[] args) {
-    Common common = new Common();
-    JCommander parser = parser(common);
+    CommonOptions options = new CommonOptions();
+    JCommander parser = parser(options);
     try {
       parser.parse(args);
     } catch (ParameterException e) {
       if (List.of(args).contains("--help")) {
-        return usage(deepest(parser), ExitCode.OK);
+        return usage(innermostCommand(parser), ExitCode.OK);
       }
       System.err.println(e.getMessage());
-      return usage(deepest(parser), ExitCode.USAGE);
+      return usage(innermostCommand(parser), ExitCode.USAGE);
     }
-    JCommander chosen = deepest(parser);
+    JCommander selected = innermostCommand(parser);
     if (List.of(args).contains("--help")) {
-      return usage(chosen, ExitCode.OK);
+      return usage(selected, ExitCode.OK);
     }
-    if (chosen.getObjects().getFirst() instanceof Action action) {
-      return run(action, common);
+    if (selected.getObjects().getFirst() instanceof Command command) {
+      return run(command, options);
     }
-    return usage(chosen, ExitCode.USAGE);
+    return usage(selected, ExitCode.USAGE);
   }
 
-  private static ExitCode run(Action action, Common common) {
+  private static ExitCode run(Command command, CommonOptions options) {
     try {
-      return action.run(new EntryClient(common.entries), new Output(System.out, common.json));
+      return command.run(new EntryClient(options.entries), new Output(System.out, options.json));
     } catch (IOException e) {
       System.err.println("no answer: " + e.getMessage());
       return ExitCode.UNAVAILABLE;
@@ -81,37 +81,38 @@
     return code;
   }
 
-  private static JCommander parser(Common common) {
-    JCommander parser = JCommander.newBuilder().programName("hingehoist").addObject(common).build();
+  private static JCommander parser(CommonOptions options) {
+    JCommander parser =
+        JCommander.newBuilder().programName("hingehoist").addObject(options).build();
     JCommander settings = group(parser, "settings");
-    settings.addCommand("get", new SettingsActions.Get());
-    settings.addCommand("set", new SettingsActions.Set());
-    settings.addCommand("unset", new SettingsActions.Unset());
-    settings.addCommand("tree", new SettingsActions.Tree());
-    settings.addCommand("history", new SettingsActions.History());
+    settings.addCommand("get", new SettingsCommands.Get());
+    settings.addCommand("set", new SettingsCommands.Set());
+    settings.addCommand("unset", new SettingsCommands.Unset());
+    settings.addCommand("tree", new SettingsCommands.Tree());
+    settings.addCommand("history", new SettingsCommands.History());
     JCommander job = group(parser, "job");
-    job.addCommand("submit", new JobActions.Submit());
-    job.addCommand("status", new JobActions.Status());
-    parser.addCommand("members", new MemberActions.Members());
-    parser.addCommand("drain", new MemberActions.Drain());
-    parser.addCommand("undrain", new MemberActions.Undrain());
+    job.addCommand("submit", new JobCommands.Submit());
+    job.addCommand("status", new JobCommands.Status());
+    parser.addCommand("members", new MemberCommands.Members());
+    parser.addCommand("drain", new MemberCommands.Drain());
+    parser.addCommand("undrain", new MemberCommands.Undrain());
     JCommander zone = group(parser, "zone");
-    zone.addCommand("list", new ZoneActions.ListZones());
-    zone.addCommand("evacuate", new ZoneActions.Evacuate());
-    zone.addCommand("restore", new ZoneActions.Restore());
-    parser.addCommand("explain", new ExplainAction());
-    parser.addCommand("audit", new ReportActions.Audit());
-    parser.addCommand("status", new ReportActions.Status());
+    zone.addCommand("list", new ZoneCommands.ListZones());
+    zone.addCommand("evacuate", new ZoneCommands.Evacuate());
+    zone.addCommand("restore", new ZoneCommands.Restore());
+    parser.addCommand("explain", new ExplainCommand());
+    parser.addCommand("audit", new ReportCommands.Audit());
+    parser.addCommand("status", new ReportCommands.Status());
     return parser;
   }
 
   private static JCommander group(JCommander parser, String name) {
-    parser.addCommand(name, new Group());
+    parser.addCommand(name, new CommandGroup());
     return parser.getCommands().get(name);
   }
 
-  private static JCommander deepest(JCommander parser) {
+  private static JCommander innermostCommand(JCommander parser) {
     String command = parser.getParsedCommand();
-    return command == null ? parser : deepest(parser.getCommands().get(command));
+    return command == null ? parser : innermostCommand(parser.getCommands().get(command));
   }
 }
--- a/cli/src/main/java/io/hingehoist/cli/MemberActions.java
+++ b/cli/src/main/java/io/hingehoist/cli/MemberCommands.java
@@ -5,18 +5,18 @@
 import java.io.IOException;
 
 /** The commands about members. */
-final class MemberActions {
-  private MemberActions() {}
+final class MemberCommands {
+  private MemberCommands() {}
 
   @Parameters(commandDescription = "Shows entries and agents")
-  static final class Members implements Action {
+  static final class Members implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
-      EntryClient.Reply reply = client.report("members", "");
+      EntryClient.Response response = client.report("members", "");
       output.write(
-          reply.body(),
+          response.body(),
           Table.of(
-              reply.body().path("members"),
+              response.body().path("members"),
               "role",
               "id",
               "state",
@@ -25,21 +25,21 @@
               "address",
               "service",
               "slots"));
-      return Output.codeOf(reply);
+      return Output.exitCodeOf(response);
     }
   }
 
-  private abstract static class StateChange extends OperatorChange {
+  private abstract static class StateChange extends OperatorCommand {
     @Parameter(names = "--agent", required = true, description = "Name of the agent")
     private String agent;
 
     ExitCode change(EntryClient client, Output output, String verb) throws IOException {
-      return order(client, output, "/v1/members/" + agent + "/" + verb);
+      return postChange(client, output, "/v1/members/" + agent + "/" + verb);
     }
   }
 
   @Parameters(commandDescription = "Lets an agent take no new work")
-  static final class Drain extends StateChange implements Action {
+  static final class Drain extends StateChange implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
       return change(client, output, "drain");
@@ -47,7 +47,7 @@
   }
 
   @Parameters(commandDescription = "Lets a drained agent take work again")
-  static final class Undrain extends StateChange implements Action {
+  static final class Undrain extends StateChange implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
       return change(client, output, "undrain");
--- a/cli/src/main/java/io/hingehoist/cli/Output.java
+++ b/cli/src/main/java/io/hingehoist/cli/Output.java
@@ -31,8 +31,8 @@
   }
 
   /** Writes the answer to a change, and returns what it means for the exit code. */
-  ExitCode writeChange(EntryClient.Reply reply) {
-    JsonNode body = reply.body();
+  ExitCode writeChange(EntryClient.Response response) {
+    JsonNode body = response.body();
     StringBuilder text =
         new StringBuilder(body.path("result").asText(body.path("outcome").asText()));
     if (body.has("revision")) {
@@ -42,14 +42,14 @@
       text.append(": ").append(body.get("reason").asText());
     }
     write(body, text.append(System.lineSeparator()));
-    return codeOf(reply);
+    return exitCodeOf(response);
   }
 
   /** Returns what a reply means for the exit code. */
-  static ExitCode codeOf(EntryClient.Reply reply) {
-    if (reply.isOk()) {
-      return reply.body().has("error") ? ExitCode.REFUSED : ExitCode.OK;
+  static ExitCode exitCodeOf(EntryClient.Response response) {
+    if (response.isOk()) {
+      return response.body().has("error") ? ExitCode.REFUSED : ExitCode.OK;
     }
-    return reply.status() == 504 ? ExitCode.UNAVAILABLE : ExitCode.REFUSED;
+    return response.status() == 504 ? ExitCode.UNAVAILABLE : ExitCode.REFUSED;
   }
 }
--- a/cli/src/main/java/io/hingehoist/cli/ReportActions.java
+++ b/cli/src/main/java/io/hingehoist/cli/ReportCommands.java
@@ -7,17 +7,17 @@
 import java.time.Instant;
 
 /** The commands that show reports. */
-final class ReportActions {
-  private ReportActions() {}
+final class ReportCommands {
+  private ReportCommands() {}
 
-  static ExitCode writeAudit(EntryClient.Reply reply, Output output) {
-    for (JsonNode row : reply.body().path("rows")) {
+  static ExitCode writeAudit(EntryClient.Response response, Output output) {
+    for (JsonNode row : response.body().path("rows")) {
       ((ObjectNode) row).put("at", Instant.ofEpochMilli(row.path("atMs").asLong()).toString());
     }
     output.write(
-        reply.body(),
+        response.body(),
         Table.of(
-            reply.body().path("rows"),
+            response.body().path("rows"),
             "at",
             "actor",
             "action",
@@ -27,11 +27,11 @@
             "accepted",
             "revision",
             "reason"));
-    return Output.codeOf(reply);
+    return Output.exitCodeOf(response);
   }
 
   @Parameters(commandDescription = "Shows the audit trail of settings and members")
-  static final class Audit implements Action {
+  static final class Audit implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
       return writeAudit(client.report("audit", ""), output);
@@ -39,11 +39,11 @@
   }
 
   @Parameters(commandDescription = "Shows the state of the control replicas")
-  static final class Status implements Action {
+  static final class Status implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
-      EntryClient.Reply reply = client.report("status", "");
-      JsonNode body = reply.body();
+      EntryClient.Response response = client.report("status", "");
+      JsonNode body = response.body();
       StringBuilder text = new StringBuilder();
       body.properties().stream()
           .filter(field -> !field.getKey().equals("replicas"))
@@ -52,7 +52,7 @@
                   text.append("%-18s %s%n".formatted(field.getKey(), field.getValue().asText())));
       text.append(Table.of(body.path("replicas"), "replicaId", "address", "voter"));
       output.write(body, text);
-      return Output.codeOf(reply);
+      return Output.exitCodeOf(response);
     }
   }
 }
--- a/cli/src/main/java/io/hingehoist/cli/SettingsActions.java
+++ b/cli/src/main/java/io/hingehoist/cli/SettingsCommands.java
@@ -8,11 +8,11 @@
 import java.util.UUID;
 
 /** The commands under {@code hingehoist settings}. */
-final class SettingsActions {
-  private SettingsActions() {}
+final class SettingsCommands {
+  private SettingsCommands() {}
 
   /** Parameters of a change. */
-  private abstract static class Change extends OperatorChange {
+  private abstract static class Change extends OperatorCommand {
     @Parameter(names = "--path", required = true, description = "Node, such as /porting or /")
     private String path;
 
@@ -48,14 +48,14 @@
   }
 
   @Parameters(commandDescription = "Shows the values in force at a node, and where they come from")
-  static final class Get implements Action {
+  static final class Get implements Command {
     @Parameter(names = "--path", description = "Node, such as /porting/activation/zone-1")
     private String path = "/";
 
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
-      EntryClient.Reply reply = client.report("settings", path);
-      JsonNode body = reply.body();
+      EntryClient.Response response = client.report("settings", path);
+      JsonNode body = response.body();
       String text =
           body.has("error")
               ? body.get("error").asText() + System.lineSeparator()
@@ -64,12 +64,12 @@
                       body.path("revision").asLong(),
                       Table.of(body.path("values"), "key", "value", "source"));
       output.write(body, text);
-      return Output.codeOf(reply);
+      return Output.exitCodeOf(response);
     }
   }
 
   @Parameters(commandDescription = "Overrides a value at a node")
-  static final class Set extends Change implements Action {
+  static final class Set extends Change implements Command {
     @Parameter(names = "--value", required = true, description = "The new value")
     private String value;
 
@@ -80,7 +80,7 @@
   }
 
   @Parameters(commandDescription = "Makes a node inherit a value again")
-  static final class Unset extends Change implements Action {
+  static final class Unset extends Change implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
       return change(client, output, null);
@@ -88,29 +88,29 @@
   }
 
   @Parameters(commandDescription = "Shows every overridden value")
-  static final class Tree implements Action {
+  static final class Tree implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
-      EntryClient.Reply reply = client.report("tree", "");
-      JsonNode body = reply.body();
+      EntryClient.Response response = client.report("tree", "");
+      JsonNode body = response.body();
       output.write(
           body,
           "revision %d%n%s"
               .formatted(
                   body.path("revision").asLong(),
                   Table.of(body.path("overrides"), "path", "key", "value")));
-      return Output.codeOf(reply);
+      return Output.exitCodeOf(response);
     }
   }
 
   @Parameters(commandDescription = "Shows the changes of settings, accepted and refused")
-  static final class History implements Action {
+  static final class History implements Command {
     @Parameter(names = "--path", description = "Only this node")
     private String path = "";
 
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
-      return ReportActions.writeAudit(client.report("history", path), output);
+      return ReportCommands.writeAudit(client.report("history", path), output);
     }
   }
 }
--- a/cli/src/main/java/io/hingehoist/cli/ZoneActions.java
+++ b/cli/src/main/java/io/hingehoist/cli/ZoneCommands.java
@@ -7,31 +7,32 @@
 import java.nio.charset.StandardCharsets;
 
 /** The commands about availability zones. */
-final class ZoneActions {
-  private ZoneActions() {}
+final class ZoneCommands {
+  private ZoneCommands() {}
 
   @Parameters(commandDescription = "Shows availability zones and whether they are evacuated")
-  static final class ListZones implements Action {
+  static final class ListZones implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
-      EntryClient.Reply reply = client.report("zones", "");
-      output.write(reply.body(), Table.of(reply.body().path("zones"), "zone", "state", "agents"));
-      return Output.codeOf(reply);
+      EntryClient.Response response = client.report("zones", "");
+      output.write(
+          response.body(), Table.of(response.body().path("zones"), "zone", "state", "agents"));
+      return Output.exitCodeOf(response);
     }
   }
 
-  private abstract static class ZoneChange extends OperatorChange {
+  private abstract static class ZoneChange extends OperatorCommand {
     @Parameter(names = "--zone", required = true, description = "Name of the availability zone")
     private String zone;
 
     ExitCode change(EntryClient client, Output output, String verb) throws IOException {
       String name = URLEncoder.encode(zone, StandardCharsets.UTF_8).replace("+", "%20");
-      return order(client, output, "/v1/zones/" + name + "/" + verb);
+      return postChange(client, output, "/v1/zones/" + name + "/" + verb);
     }
   }
 
   @Parameters(commandDescription = "Starts nothing more in an availability zone")
-  static final class Evacuate extends ZoneChange implements Action {
+  static final class Evacuate extends ZoneChange implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
       return change(client, output, "evacuate");
@@ -39,7 +40,7 @@
   }
 
   @Parameters(commandDescription = "Lets an evacuated availability zone be used again")
-  static final class Restore extends ZoneChange implements Action {
+  static final class Restore extends ZoneChange implements Command {
     @Override
     public ExitCode run(EntryClient client, Output output) throws IOException {
       return change(client, output, "restore");
--- a/cli/src/test/java/io/hingehoist/cli/JobStoryTest.java
+++ b/cli/src/test/java/io/hingehoist/cli/JobTimelineTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-public final class JobStoryTest {
+public final class JobTimelineTest {
 
   private static String line(long atMs, String node, String event, String job, String where) {
     return "{\"atMs\":%d,\"node\":\"%s\",\"event\":\"%s\",\"job\":\"%s\",\"where\":\"%s\"}"
@@ -14,9 +14,9 @@
   }
 
   @Test
-  public void tellsAJobsLinesInOrderWithWhatHappenedAround() {
-    JobStory story =
-        JobStory.of(
+  public void timelineListsTheJobsEventsAndRelatedEventsInOrder() {
+    JobTimeline timeline =
+        JobTimeline.of(
             "j1",
             Stream.of(
                 line(30, "o1", "jobAnswered", "j1", ""),
@@ -28,7 +28,7 @@
                 line(12, "o1", "jobTaken", "j2", "q"),
                 "no log line at all",
                 "{broken"));
-    String[] lines = story.toText().split(System.lineSeparator());
+    String[] lines = timeline.toText().split(System.lineSeparator());
     assertEquals(lines.length, 5);
     assertTrue(lines[0].contains("jobTaken"));
     assertTrue(lines[1].contains("runOver"));
@@ -38,7 +38,7 @@
   }
 
   @Test
-  public void aJobThatNoLineNamesHasNoStory() {
-    assertTrue(JobStory.of("j3", Stream.of(line(1, "o", "jobTaken", "j1", ""))).isEmpty());
+  public void unknownJobHasAnEmptyTimeline() {
+    assertTrue(JobTimeline.of("j3", Stream.of(line(1, "o", "jobTaken", "j1", ""))).isEmpty());
   }
 }
--- a/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
+++ b/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
@@ -53,8 +53,8 @@
   private static final long HEARTBEAT_MS = 500;
   private static final long POLL_MS = 50;
   private static final int MAX_BATCH = 64;
-  private static final long LAST_WORD_MS = 2_000;
-  private static final long REHEARSAL_MS = 2_000;
+  private static final long DEREGISTRATION_TIMEOUT_MS = 2_000;
+  private static final long WARM_UP_TIMEOUT_MS = 2_000;
 
   private final NodeSection node;
   private final AgentSection settings;
@@ -63,17 +63,17 @@
   private final BackendClient backend;
   private final ControlClient control;
   private final FrameServer server;
-  private final ExecutorService runners;
+  private final ExecutorService taskExecutor;
   private final Map<Long, FrameConnection> entries = new HashMap<>();
   private final CountDownLatch settled = new CountDownLatch(1);
   private final InboxLoop<Runnable> loop;
   private long heartbeatSentAtMs;
-  private boolean heartbeatOpen;
-  private boolean registering;
+  private boolean heartbeatPending;
+  private boolean registrationPending;
   private boolean hadLease;
   private boolean stopping;
-  private final SleepDetector sleepWatch = SleepDetector.create();
-  private long sleeps;
+  private final SleepDetector sleepDetector = SleepDetector.create();
+  private long sleepCount;
 
   private AgentNode(
       NodeSection node,
@@ -93,7 +93,7 @@
     this.control =
         ControlClient.create(
             node.controlAddresses(), settings.listenAddress(), hello, metrics, threads);
-    this.runners = Executors.newFixedThreadPool(settings.slots(), threads);
+    this.taskExecutor = Executors.newFixedThreadPool(settings.slots(), threads);
     this.loop = InboxLoop.create("ledger", POLL_MS, MAX_BATCH, this::onBatch, fatal);
     this.server =
         FrameServer.open(
@@ -129,17 +129,17 @@
 
   /** After a sleep only a heartbeat that was sent since brings a lease. */
   private void checkSleep() {
-    long sleptMs = sleepWatch.sleptMs();
+    long sleptMs = sleepDetector.sleptMs();
     if (sleptMs > 0) {
       LOG.infof("event=mayHaveSlept agent=%s ms=%d", node.nodeId(), sleptMs);
       ledger.dropLease();
-      sleeps++;
+      sleepCount++;
       heartbeatSentAtMs = 0;
     }
   }
 
   private void onTick(long now) {
-    if (!heartbeatOpen && now - heartbeatSentAtMs >= HEARTBEAT_MS) {
+    if (!heartbeatPending && now - heartbeatSentAtMs >= HEARTBEAT_MS) {
       sendHeartbeat(now);
     }
     boolean hasLease = ledger.hasLease(now);
@@ -147,7 +147,7 @@
       hadLease = hasLease;
       LOG.infof("event=%s agent=%s", hasLease ? "leaseGained" : "leaseLost", node.nodeId());
       if (hasLease) {
-        tellEntries();
+        sendStatusToEntries();
       }
     }
     if (stopping && ledger.isSettled()) {
@@ -157,9 +157,9 @@
 
   private void sendHeartbeat(long now) {
     heartbeatSentAtMs = now;
-    heartbeatOpen = true;
+    heartbeatPending = true;
     long incarnation = ledger.incarnation();
-    long sleepsBefore = sleeps;
+    long sleepCountAtSend = sleepCount;
     control
         .heartbeat(
             id ->
@@ -169,8 +169,8 @@
             (response, failure) ->
                 loop.add(
                     () -> {
-                      heartbeatOpen = false;
-                      if (response != null && sleeps == sleepsBefore) {
+                      heartbeatPending = false;
+                      if (response != null && sleepCount == sleepCountAtSend) {
                         onHeartbeat(response, incarnation, now);
                       }
                     }));
@@ -184,7 +184,7 @@
       register();
       return;
     }
-    ledger.onLease(Leases.untilMs(response, sentAtMs), response.floorMs());
+    ledger.onLease(Leases.expiresAtMs(response, sentAtMs), response.floorMs());
     boolean draining = stopping || response.state() != MemberState.LIVE;
     if (draining != ledger.isDraining()) {
       setDraining(draining);
@@ -194,14 +194,14 @@
   private void setDraining(boolean draining) {
     ledger.setDraining(draining);
     LOG.infof("event=%s agent=%s", draining ? "draining" : "takingWork", node.nodeId());
-    tellEntries();
+    sendStatusToEntries();
   }
 
   private void register() {
-    if (registering) {
+    if (registrationPending) {
       return;
     }
-    registering = true;
+    registrationPending = true;
     control
         .propose(
             new RegisterAgent(
@@ -216,17 +216,17 @@
   }
 
   private void onRegistered(CommandResult result) {
-    registering = false;
+    registrationPending = false;
     heartbeatSentAtMs = 0;
     if (result instanceof MemberRefused refused) {
       long next = Leases.nextIncarnation(refused);
       ledger.renewIncarnation(next);
       LOG.infof("event=incarnationRenewed agent=%s incarnation=%d", node.nodeId(), next);
-      tellEntries();
+      sendStatusToEntries();
     }
   }
 
-  private void tellEntries() {
+  private void sendStatusToEntries() {
     entries.values().forEach(c -> c.send(ledger.statusFor(c.id())));
   }
 
@@ -239,7 +239,7 @@
             connection.send(send.message());
           }
         }
-        case LedgerEffect.Run run -> runners.execute(() -> run(run));
+        case LedgerEffect.Run run -> taskExecutor.execute(() -> run(run));
       }
     }
   }
@@ -247,24 +247,24 @@
   // Traffic threads.
 
   private void run(LedgerEffect.Run run) {
-    BackendAnswer answer = backend.run(nameOf(run.key()), run.payload(), run.timeoutMs());
-    loop.add(() -> onAnswer(run.key(), answer));
+    BackendResult answer = backend.run(taskNameOf(run.key()), run.payload(), run.timeoutMs());
+    loop.add(() -> onBackendResult(run.key(), answer));
   }
 
-  private static String nameOf(RunKey key) {
+  private static String taskNameOf(RunKey key) {
     return switch (key) {
       case RunKey.JobTask task -> task.jobId() + "/" + task.taskIndex();
       case RunKey.Request request -> "request";
     };
   }
 
-  private void onAnswer(RunKey key, BackendAnswer answer) {
+  private void onBackendResult(RunKey key, BackendResult answer) {
     switch (answer) {
-      case BackendAnswer.Ended ended -> {
+      case BackendResult.Ended ended -> {
         metrics.countTask(ended.state().name());
         carryOut(ledger.onRunEnded(key, ended.state(), ended.result(), ended.ranMicros()));
       }
-      case BackendAnswer.NotReached notReached -> {
+      case BackendResult.NotReached notReached -> {
         metrics.countTask("NOT_REACHED");
         carryOut(ledger.onBackendUnreachable(key));
       }
@@ -286,14 +286,14 @@
 
   /** Takes what an entry sends; its first message says who it is. */
   private final class EntryHandler implements FrameHandler {
-    private boolean greeted;
+    private boolean helloReceived;
 
     @Override
     public void onMessage(FrameConnection connection, Message message) {
-      if (!greeted && message instanceof Hello hello && isWelcome(hello)) {
-        greeted = true;
+      if (!helloReceived && message instanceof Hello hello && isValidHello(hello)) {
+        helloReceived = true;
         loop.add(() -> onConnected(connection));
-      } else if (greeted && isFromEntry(message)) {
+      } else if (helloReceived && isFromEntry(message)) {
         loop.add(() -> carryOut(ledger.onMessage(connection.id(), message, InboxLoop.nowMs())));
       } else {
         metrics.countBadFrame();
@@ -301,7 +301,7 @@
       }
     }
 
-    private static boolean isWelcome(Hello hello) {
+    private static boolean isValidHello(Hello hello) {
       return hello.role() == Role.ENTRY
           && hello.protocolVersion() == FrameConnection.PROTOCOL_VERSION;
     }
@@ -322,10 +322,10 @@
   }
 
   /** Goes once through the ways of a task, for {@code hingehoistd archive}. */
-  public void rehearse() {
-    BackendAnswer answer = backend.run("rehearsal", "", REHEARSAL_MS);
+  public void warmUp() {
+    BackendResult answer = backend.run("rehearsal", "", WARM_UP_TIMEOUT_MS);
     LOG.infof("event=rehearsed answer=\"%s\"", answer);
-    await(settled, REHEARSAL_MS);
+    await(settled, WARM_UP_TIMEOUT_MS);
   }
 
   /**
@@ -343,7 +343,7 @@
         });
     boolean clean = await(settled, settings.stopTimeoutMs());
     if (clean) {
-      CountDownLatch left = new CountDownLatch(1);
+      CountDownLatch deregistered = new CountDownLatch(1);
       control
           .propose(
               new ChangeAgentState(
@@ -352,8 +352,8 @@
                   MemberState.GONE,
                   "plannedStop",
                   node.nodeId()))
-          .thenAccept(result -> left.countDown());
-      await(left, LAST_WORD_MS);
+          .thenAccept(result -> deregistered.countDown());
+      await(deregistered, DEREGISTRATION_TIMEOUT_MS);
     }
     LOG.infof("event=agentStopped agent=%s settled=%s", node.nodeId(), clean);
     close();
@@ -374,7 +374,7 @@
     loop.close();
     server.close();
     control.close();
-    runners.shutdownNow();
+    taskExecutor.shutdownNow();
     try {
       backend.close();
     } catch (IOException e) {
--- a/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
+++ b/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
@@ -59,7 +59,7 @@
   }
 
   /** Sends a payload and waits for the answer. */
-  BackendAnswer run(String taskName, String payload, long timeoutMs) {
+  BackendResult run(String taskName, String payload, long timeoutMs) {
     HttpPost post = new HttpPost(url);
     post.setHeader(TASK_HEADER, taskName);
     post.setEntity(new StringEntity(payload, ContentType.TEXT_PLAIN.withCharset("UTF-8")));
@@ -72,14 +72,14 @@
     try {
       return http.execute(post, response -> toAnswer(response, startNanos));
     } catch (ConnectException e) {
-      return new BackendAnswer.NotReached(String.valueOf(e.getMessage()));
+      return new BackendResult.NotReached(String.valueOf(e.getMessage()));
     } catch (IOException e) {
       String reason = e.getClass().getSimpleName() + ": " + e.getMessage();
-      return new BackendAnswer.Ended(TaskState.FAILED, shorten(reason), micros(startNanos));
+      return new BackendResult.Ended(TaskState.FAILED, truncate(reason), elapsedMicros(startNanos));
     }
   }
 
-  private static BackendAnswer toAnswer(ClassicHttpResponse response, long startNanos)
+  private static BackendResult toAnswer(ClassicHttpResponse response, long startNanos)
       throws IOException {
     String body;
     try {
@@ -89,18 +89,18 @@
     }
     boolean success = response.getCode() / 100 == 2;
     if (success) {
-      return new BackendAnswer.Ended(TaskState.SUCCEEDED, body, micros(startNanos));
+      return new BackendResult.Ended(TaskState.SUCCEEDED, body, elapsedMicros(startNanos));
     }
     String reason = "HTTP " + response.getCode() + ": " + body;
-    return new BackendAnswer.Ended(TaskState.FAILED, shorten(reason), micros(startNanos));
+    return new BackendResult.Ended(TaskState.FAILED, truncate(reason), elapsedMicros(startNanos));
   }
 
-  private static String shorten(String reason) {
+  private static String truncate(String reason) {
     int end = Math.min(reason.length(), MAX_REASON_CHARACTERS);
     return reason.substring(0, end);
   }
 
-  private static long micros(long startNanos) {
+  private static long elapsedMicros(long startNanos) {
     return Math.max(1, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos));
   }
 
--- a/daemon/src/main/java/io/hingehoist/client/ControlClient.java
+++ b/daemon/src/main/java/io/hingehoist/client/ControlClient.java
@@ -40,8 +40,8 @@
 public final class ControlClient implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 500;
   private static final long ATTEMPT_TIMEOUT_MS = 1_500;
-  private static final long SWEEP_PERIOD_MS = 100;
-  private static final long RETRY_PAUSE_MS = 50;
+  private static final long TIMEOUT_CHECK_PERIOD_MS = 100;
+  private static final long RETRY_DELAY_MS = 50;
   private static final int MAX_QUEUED_FRAMES = 8_192;
 
   private record Pending(CompletableFuture<Message> reply, long expiresAtMs) {}
@@ -54,7 +54,7 @@
   private final ScheduledExecutorService executor;
   private final Map<Long, Pending> pending = new HashMap<>();
   private FrameConnection connection;
-  private String target;
+  private String targetAddress;
   private int nextAddress;
   private long nextRequestId;
 
@@ -69,7 +69,7 @@
     this.hello = hello;
     this.metrics = metrics;
     this.threads = threads;
-    this.target = addresses.getFirst();
+    this.targetAddress = addresses.getFirst();
     this.executor = Executors.newSingleThreadScheduledExecutor(threads);
   }
 
@@ -86,18 +86,21 @@
       ThreadFactory threads) {
     ControlClient client = new ControlClient(addresses, ownAddress, hello, metrics, threads);
     client.executor.scheduleWithFixedDelay(
-        client::sweep, SWEEP_PERIOD_MS, SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
+        client::checkTimeouts,
+        TIMEOUT_CHECK_PERIOD_MS,
+        TIMEOUT_CHECK_PERIOD_MS,
+        TimeUnit.MILLISECONDS);
     return client;
   }
 
   /** Proposes a command again and again until it is known to be applied, and returns the result. */
   public CompletableFuture<CommandResult> propose(Command command) {
     CompletableFuture<CommandResult> result = new CompletableFuture<>();
-    proposeInto(command.toBytes(), result);
+    attemptProposal(command.toBytes(), result);
     return result;
   }
 
-  private void proposeInto(Bytes command, CompletableFuture<CommandResult> result) {
+  private void attemptProposal(Bytes command, CompletableFuture<CommandResult> result) {
     attempt(id -> new ProposeRequest(id, command), ATTEMPT_TIMEOUT_MS)
         .whenComplete(
             (reply, failure) -> {
@@ -106,7 +109,7 @@
               if (done) {
                 complete(result, ((ProposeResponse) reply).result());
               } else {
-                later(() -> proposeInto(command, result));
+                scheduleRetry(() -> attemptProposal(command, result));
               }
             });
   }
@@ -125,30 +128,30 @@
    */
   public CompletableFuture<QueryAnswer> query(Query query, long timeoutMs) {
     CompletableFuture<QueryAnswer> result = new CompletableFuture<>();
-    queryInto(query.toBytes(), nowMs() + timeoutMs, result);
+    attemptQuery(query.toBytes(), nowMs() + timeoutMs, result);
     return result;
   }
 
-  private void queryInto(Bytes query, long giveUpAtMs, CompletableFuture<QueryAnswer> result) {
-    attempt(id -> new QueryRequest(id, query), giveUpAtMs - nowMs())
+  private void attemptQuery(Bytes query, long deadlineMs, CompletableFuture<QueryAnswer> result) {
+    attempt(id -> new QueryRequest(id, query), deadlineMs - nowMs())
         .whenComplete(
             (reply, failure) -> {
               ReplyStatus status =
                   reply instanceof QueryResponse response
                       ? response.status()
                       : ReplyStatus.UNAVAILABLE;
-              boolean timeIsLeft = nowMs() + RETRY_PAUSE_MS < giveUpAtMs;
+              boolean canRetry = nowMs() + RETRY_DELAY_MS < deadlineMs;
               if (status == ReplyStatus.OK) {
-                completeAnswer(result, ((QueryResponse) reply).result());
-              } else if (status != ReplyStatus.INVALID && timeIsLeft) {
-                later(() -> queryInto(query, giveUpAtMs, result));
+                completeQuery(result, ((QueryResponse) reply).result());
+              } else if (status != ReplyStatus.INVALID && canRetry) {
+                scheduleRetry(() -> attemptQuery(query, deadlineMs, result));
               } else {
                 result.completeExceptionally(new ControlUnavailableException("no leader answers"));
               }
             });
   }
 
-  private static void completeAnswer(CompletableFuture<QueryAnswer> result, Bytes bytes) {
+  private static void completeQuery(CompletableFuture<QueryAnswer> result, Bytes bytes) {
     try {
       result.complete(QueryAnswer.fromBytes(bytes));
     } catch (IOException e) {
@@ -195,19 +198,19 @@
 
   private boolean connect() {
     try {
-      Socket socket = Addresses.connect(target, ownAddress, CONNECT_TIMEOUT_MS);
+      Socket socket = Addresses.connect(targetAddress, ownAddress, CONNECT_TIMEOUT_MS);
       connection = FrameConnection.start(socket, handler(), metrics, threads, MAX_QUEUED_FRAMES);
       connection.send(hello);
       return true;
     } catch (IOException e) {
-      turnToNextAddress();
+      selectNextAddress();
       return false;
     }
   }
 
-  private void turnToNextAddress() {
+  private void selectNextAddress() {
     nextAddress = (nextAddress + 1) % addresses.size();
-    target = addresses.get(nextAddress);
+    targetAddress = addresses.get(nextAddress);
   }
 
   private FrameHandler handler() {
@@ -231,28 +234,31 @@
 
   private void receive(Message message) {
     switch (message) {
-      case ProposeResponse r -> settle(r.requestId(), r.status(), r.leaderAddress(), message);
-      case QueryResponse r -> settle(r.requestId(), r.status(), r.leaderAddress(), message);
-      case HeartbeatResponse r -> settle(r.requestId(), r.status(), r.leaderAddress(), message);
+      case ProposeResponse r ->
+          completeRequest(r.requestId(), r.status(), r.leaderAddress(), message);
+      case QueryResponse r ->
+          completeRequest(r.requestId(), r.status(), r.leaderAddress(), message);
+      case HeartbeatResponse r ->
+          completeRequest(r.requestId(), r.status(), r.leaderAddress(), message);
       default -> dropConnection("not an answer: " + message.getClass().getSimpleName());
     }
   }
 
-  private void settle(long requestId, ReplyStatus status, String leader, Message message) {
-    Pending waiting = pending.remove(requestId);
-    if (waiting != null) {
-      waiting.reply().complete(message);
+  private void completeRequest(long requestId, ReplyStatus status, String leader, Message message) {
+    Pending request = pending.remove(requestId);
+    if (request != null) {
+      request.reply().complete(message);
     }
     if (status == ReplyStatus.NOT_LEADER) {
-      follow(leader);
+      followLeader(leader);
     }
   }
 
-  private void follow(String leader) {
+  private void followLeader(String leader) {
     if (leader.isEmpty()) {
-      turnToNextAddress();
-    } else if (!leader.equals(target)) {
-      target = leader;
+      selectNextAddress();
+    } else if (!leader.equals(targetAddress)) {
+      targetAddress = leader;
     } else {
       return;
     }
@@ -260,20 +266,20 @@
   }
 
   /** A connection that does not answer is as good as lost: the replica may be frozen or cut off. */
-  private void sweep() {
+  private void checkTimeouts() {
     long now = nowMs();
-    boolean late = pending.values().stream().anyMatch(waiting -> waiting.expiresAtMs() <= now);
-    if (late) {
+    boolean timedOut = pending.values().stream().anyMatch(request -> request.expiresAtMs() <= now);
+    if (timedOut) {
       dropConnection("no answer in time");
     }
   }
 
-  private void dropConnection(String why) {
-    turnToNextAddress();
-    closeConnection(why);
+  private void dropConnection(String reason) {
+    selectNextAddress();
+    closeConnection(reason);
   }
 
-  private void closeConnection(String why) {
+  private void closeConnection(String reason) {
     if (connection != null) {
       connection.close();
       connection = null;
@@ -281,7 +287,7 @@
     List<Pending> failed = List.copyOf(pending.values());
     pending.clear();
     failed.forEach(
-        waiting -> waiting.reply().completeExceptionally(new ControlUnavailableException(why)));
+        request -> request.reply().completeExceptionally(new ControlUnavailableException(reason)));
   }
 
   private void run(Runnable action) {
@@ -292,9 +298,9 @@
     }
   }
 
-  private void later(Runnable action) {
+  private void scheduleRetry(Runnable action) {
     try {
-      executor.schedule(action, RETRY_PAUSE_MS, TimeUnit.MILLISECONDS);
+      executor.schedule(action, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     } catch (RejectedExecutionException e) {
       // The client is closed, and nobody waits any more.
     }
--- a/daemon/src/main/java/io/hingehoist/client/Leases.java
+++ b/daemon/src/main/java/io/hingehoist/client/Leases.java
@@ -15,7 +15,7 @@
    *
    * @param requestSentAtMs when the heartbeat was sent that the response answers
    */
-  public static long untilMs(HeartbeatResponse response, long requestSentAtMs) {
+  public static long expiresAtMs(HeartbeatResponse response, long requestSentAtMs) {
     return requestSentAtMs + response.leaseMs() - response.leaseMs() / MARGIN_DIVISOR;
   }
 
--- a/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
+++ b/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
@@ -56,7 +56,7 @@
     root.ifPresent(this::checkSections);
     Optional<DaemonSettings> settings =
         problems.isEmpty() ? Optional.of(toSettings()) : Optional.empty();
-    settings.ifPresent(this::checkTogether);
+    settings.ifPresent(this::checkAcrossFields);
     return problems.isEmpty()
         ? new SettingsResult.Valid(settings.orElseThrow())
         : new SettingsResult.Invalid(List.copyOf(problems));
@@ -73,17 +73,17 @@
       if (document instanceof Map<?, ?> map) {
         return Optional.of(map);
       }
-      problem("(whole file)", String.valueOf(document), "a map of sections");
+      addProblem("(whole file)", String.valueOf(document), "a map of sections");
     } catch (IOException e) {
-      problem("(whole file)", e.getClass().getSimpleName(), "a readable file");
+      addProblem("(whole file)", e.getClass().getSimpleName(), "a readable file");
     } catch (YAMLException e) {
       String line = e.getMessage().replaceAll("\\s+", " ").strip();
-      problem("(whole file)", line, "YAML with distinct keys and at most 10 aliases");
+      addProblem("(whole file)", line, "YAML with distinct keys and at most 10 aliases");
     }
     return Optional.empty();
   }
 
-  private void problem(String field, String value, String allowed) {
+  private void addProblem(String field, String value, String allowed) {
     problems.add(
         "%s: %s: value \"%s\" is not allowed; allowed: %s".formatted(file, field, value, allowed));
   }
@@ -92,22 +92,22 @@
     root.forEach(
         (name, content) -> {
           if (!SECTIONS.containsKey(name)) {
-            problem(
+            addProblem(
                 String.valueOf(name), "(unknown key)", "node, control, entry, agent, owner, host");
           } else if (content instanceof Map<?, ?> section) {
             checkSection(String.valueOf(name), section);
           } else {
-            problem(String.valueOf(name), String.valueOf(content), "a map of fields");
+            addProblem(String.valueOf(name), String.valueOf(content), "a map of fields");
           }
         });
     List<String> roles =
         FieldSpec.list(values.getOrDefault("node", Map.of()).getOrDefault("roles", ""));
     if (!root.containsKey("node")) {
-      problem("node", "(missing)", "a map of fields");
+      addProblem("node", "(missing)", "a map of fields");
     }
     for (String role : roles) {
       if (SECTIONS.containsKey(role) && !root.containsKey(role)) {
-        problem(role, "(missing)", "a map of fields, because node.roles names " + role);
+        addProblem(role, "(missing)", "a map of fields, because node.roles names " + role);
       }
     }
   }
@@ -120,14 +120,14 @@
           String field = sectionName + "." + key;
           Optional<FieldSpec> spec = FieldSpecs.find(specs, String.valueOf(key));
           if (spec.isEmpty()) {
-            problem(field, "(unknown key)", names(specs));
+            addProblem(field, "(unknown key)", fieldNames(specs));
           } else {
             checkValue(field, spec.get(), value, found);
           }
         });
     for (FieldSpec spec : specs) {
       if (spec.isRequired() && !section.containsKey(spec.name())) {
-        problem(sectionName + "." + spec.name(), "(missing)", FieldSpecs.describeRange(spec));
+        addProblem(sectionName + "." + spec.name(), "(missing)", FieldSpecs.describeRange(spec));
       }
     }
     values.put(sectionName, found);
@@ -137,7 +137,7 @@
     boolean list = spec.type().equals("array");
     boolean wrongShape = value == null || value instanceof Map || (value instanceof List) != list;
     if (wrongShape) {
-      problem(
+      addProblem(
           field,
           String.valueOf(value),
           (list ? "a list of " : "") + FieldSpecs.describeRange(spec));
@@ -148,12 +148,12 @@
             ? items.stream().map(String::valueOf).collect(Collectors.joining(","))
             : String.valueOf(value);
     if (FieldSpecs.validate(spec, text).isPresent()) {
-      problem(field, text, FieldSpecs.describeRange(spec));
+      addProblem(field, text, FieldSpecs.describeRange(spec));
     }
     found.put(spec.name(), text);
   }
 
-  private static String names(List<FieldSpec> specs) {
+  private static String fieldNames(List<FieldSpec> specs) {
     return specs.stream().map(FieldSpec::name).collect(Collectors.joining(", "));
   }
 
@@ -182,17 +182,17 @@
   }
 
   /** Checks what one field alone does not show. */
-  private void checkTogether(DaemonSettings settings) {
+  private void checkAcrossFields(DaemonSettings settings) {
     NodeSection node = settings.node();
     if (node.roles().contains("agent") && node.roles().size() > 1) {
-      problem("node.roles", String.join(",", node.roles()), "agent alone, or entry and control");
+      addProblem("node.roles", String.join(",", node.roles()), "agent alone, or entry and control");
     }
     for (String role : List.of("owner", "host")) {
       if (node.roles().contains(role) && node.roles().size() > 1) {
-        problem("node.roles", String.join(",", node.roles()), role + " alone");
+        addProblem("node.roles", String.join(",", node.roles()), role + " alone");
       }
       if (node.roles().contains(role) && node.adapter().isEmpty()) {
-        problem("node.adapter", "", "the name of an adapter, because node.roles names " + role);
+        addProblem("node.adapter", "", "the name of an adapter, because node.roles names " + role);
       }
     }
     settings.control().ifPresent(control -> checkControl(node, control));
@@ -200,22 +200,22 @@
 
   private void checkControl(NodeSection node, ControlSection control) {
     if (node.dataFolder().isEmpty()) {
-      problem("node.dataFolder", "", "a path of a folder, because node.roles names control");
+      addProblem("node.dataFolder", "", "a path of a folder, because node.roles names control");
     }
     if (node.peerPort() == 0 && !node.controlAddresses().contains(control.listenAddress())) {
-      problem(
+      addProblem(
           "control.listenAddress",
           control.listenAddress(),
           "one of node.controlAddresses: " + String.join(", ", node.controlAddresses()));
     }
     if (control.electionTimeoutMs() < 2 * control.heartbeatMs()) {
-      problem(
+      addProblem(
           "control.electionTimeoutMs",
           String.valueOf(control.electionTimeoutMs()),
           "at least twice control.heartbeatMs, which is " + control.heartbeatMs());
     }
     if (control.memberTimeoutMs() <= control.leaseMs()) {
-      problem(
+      addProblem(
           "control.memberTimeoutMs",
           String.valueOf(control.memberTimeoutMs()),
           "more than control.leaseMs, which is " + control.leaseMs());
--- a/daemon/src/main/java/io/hingehoist/daemon/AdaptedProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
@@ -36,8 +36,8 @@
  * starts no Dropwizard, Jersey or Guice, as the boxes that it is meant for have a fraction of a
  * core.
  */
-final class AdaptedProcess {
-  private static final int MAX_DOOR_BODY_BYTES = 8 * 1024 * 1024;
+final class AdapterProcess {
+  private static final int MAX_OPERATOR_BODY_BYTES = 8 * 1024 * 1024;
   private static final int MAX_METRICS_BODY_BYTES = 1_024;
 
   private final DaemonSettings settings;
@@ -47,7 +47,7 @@
   private final DecisionLog log;
   private final EventLoop loop;
 
-  private AdaptedProcess(DaemonSettings settings, Path file, Adapter adapter, Metrics metrics) {
+  private AdapterProcess(DaemonSettings settings, Path file, Adapter adapter, Metrics metrics) {
     this.settings = settings;
     this.file = file;
     this.adapter = adapter;
@@ -64,7 +64,7 @@
                 () ->
                     new IOException(
                         "node.adapter: value \"" + name + "\" is not on the class path"));
-    new AdaptedProcess(settings, file, adapter, metrics).start();
+    new AdapterProcess(settings, file, adapter, metrics).start();
   }
 
   private void start() throws IOException {
@@ -83,18 +83,18 @@
     OwnerNode owner = OwnerNode.start(settings.node(), section, adapter, metrics, log, loop);
     serveMetrics(section.metricsAddress());
     watch(changed -> owner.reload(changed.node()));
-    stopWith(owner::stop);
+    stopAtShutdown(owner::stop);
   }
 
   private void startHost(HostSection section) throws IOException {
     HostNode host = HostNode.start(settings.node(), section, adapter, metrics, log, loop);
     serveMetrics(section.metricsAddress());
     watch(changed -> host.reload(changed.node()));
-    stopWith(host::stop);
+    stopAtShutdown(host::stop);
   }
 
   private void startControl(ControlSection section) throws IOException {
-    foundIfDue(section);
+    foundClusterIfConfigured(section);
     ControlNode control =
         ControlNode.start(
             settings.node(),
@@ -107,18 +107,18 @@
     if (!section.doorAddress().isEmpty()) {
       LocalOrders orders = LocalOrders.of(control, loop, OwnerNode.CONFIGURATION);
       HttpServer.open(
-          loop, section.doorAddress(), MAX_DOOR_BODY_BYTES, adapter.operatorHandler(orders));
+          loop, section.doorAddress(), MAX_OPERATOR_BODY_BYTES, adapter.operatorHandler(orders));
     }
     serveMetrics(section.metricsAddress());
     watch(changed -> control.reload(changed.node()));
-    stopWith(
+    stopAtShutdown(
         () -> {
           control.close();
           return true;
         });
   }
 
-  private void foundIfDue(ControlSection section) throws IOException {
+  private void foundClusterIfConfigured(ControlSection section) throws IOException {
     Path folder = Path.of(settings.node().dataFolder());
     boolean founds =
         !section.foundsAt().isEmpty() && section.foundsAt().equals(section.doorAddress());
@@ -136,10 +136,10 @@
   }
 
   private void watch(Consumer<DaemonSettings> changes) {
-    SettingsWatch.start(file, loop, log, changes);
+    SettingsFileWatcher.start(file, loop, log, changes);
   }
 
-  private void stopWith(BooleanSupplier stop) {
+  private void stopAtShutdown(BooleanSupplier stop) {
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
--- a/daemon/src/main/java/io/hingehoist/daemon/AgentProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AgentProcess.java
@@ -27,14 +27,14 @@
   }
 
   /** Runs an agent for a moment, so that its classes are loaded. */
-  static void rehearse(DaemonSettings settings) throws IOException {
-    Logs.configure(settings.node());
+  static void warmUp(DaemonSettings settings) throws IOException {
+    LogSetup.configure(settings.node());
     Metrics metrics = Metrics.create();
     AgentSection section = settings.agent().orElseThrow();
     ThreadFactory threads = AgentProcess::newThread;
     try (AgentNode agent =
         AgentNode.start(settings.node(), section, metrics, threads, Main::halt)) {
-      agent.rehearse();
+      agent.warmUp();
     }
   }
 
--- a/daemon/src/main/java/io/hingehoist/daemon/Hangups.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/HangupSignal.java
@@ -3,8 +3,8 @@
 import java.lang.reflect.Proxy;
 
 /** Static helpers for SIGHUP, on which the virtual machine would end without a handler. */
-final class Hangups {
-  private Hangups() {}
+final class HangupSignal {
+  private HangupSignal() {}
 
   /**
    * Runs an action on each SIGHUP, on a thread of the virtual machine. The classes for it are
--- a/daemon/src/main/java/io/hingehoist/daemon/LineFormatter.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/LineFormatter.java
@@ -31,16 +31,16 @@
   }
 
   private static String toText(LogRecord record, String logger, String message) {
-    return "%s %s %s %s%n".formatted(at(record), record.getLevel(), logger, message);
+    return "%s %s %s %s%n".formatted(timestamp(record), record.getLevel(), logger, message);
   }
 
-  private static Instant at(LogRecord record) {
+  private static Instant timestamp(LogRecord record) {
     return Instant.ofEpochMilli(record.getMillis());
   }
 
   private static String toJson(LogRecord record, String logger, String message) {
     StringBuilder line = new StringBuilder();
-    line.append("{\"at\":\"").append(at(record)).append("\",\"level\":\"");
+    line.append("{\"at\":\"").append(timestamp(record)).append("\",\"level\":\"");
     line.append(record.getLevel()).append("\",\"logger\":\"").append(logger).append('"');
     Matcher pairs = PAIR.matcher(message);
     while (pairs.find()) {
--- a/daemon/src/main/java/io/hingehoist/daemon/Logs.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/LogSetup.java
@@ -9,22 +9,22 @@
 /**
  * Static helpers that set up JBoss Logging on the logging of the JDK, which costs an agent least.
  */
-final class Logs {
+final class LogSetup {
   /** The log manager holds loggers weakly: one that nobody else holds would lose its level. */
   private static Logger ownLogger;
 
-  private Logs() {}
+  private LogSetup() {}
 
   /** Chooses the backend; must come before the first logger. */
   static void chooseBackend() {
     System.setProperty("org.jboss.logging.provider", "jdk");
-    System.setProperty("java.util.logging.manager", LastingLogManager.class.getName());
+    System.setProperty("java.util.logging.manager", NonClosingLogManager.class.getName());
   }
 
   static void configure(NodeSection node) {
     Logger root = Logger.getLogger("");
-    for (Handler former : root.getHandlers()) {
-      root.removeHandler(former);
+    for (Handler existing : root.getHandlers()) {
+      root.removeHandler(existing);
     }
     Level level =
         switch (node.logLevel()) {
--- a/daemon/src/main/java/io/hingehoist/daemon/Main.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/Main.java
@@ -35,7 +35,7 @@
 
   /** Runs the program. */
   public static void main(String[] args) {
-    Logs.chooseBackend();
+    LogSetup.chooseBackend();
     ExitCode code = run(List.of(args));
     if (code != ExitCode.OK) {
       System.exit(code.code());
@@ -114,7 +114,7 @@
       return ExitCode.BAD_SETTINGS;
     }
     try {
-      AgentProcess.rehearse(settings);
+      AgentProcess.warmUp(settings);
       return ExitCode.OK;
     } catch (IOException e) {
       System.err.println("can't start: " + e);
@@ -123,11 +123,11 @@
   }
 
   private static ExitCode start(DaemonSettings settings, Path file) {
-    Logs.configure(settings.node());
+    LogSetup.configure(settings.node());
     Metrics metrics = Metrics.create();
     try {
       if (!settings.node().adapter().isEmpty()) {
-        AdaptedProcess.start(settings, file, metrics);
+        AdapterProcess.start(settings, file, metrics);
       } else if (settings.agent().isPresent()) {
         AgentProcess.start(settings, metrics);
       } else {
--- a/daemon/src/main/java/io/hingehoist/daemon/LastingLogManager.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/NonClosingLogManager.java
@@ -7,7 +7,7 @@
  * told to stop, and the lines of a planned stop would be lost. Public because the JDK creates it by
  * name.
  */
-public final class LastingLogManager extends LogManager {
+public final class NonClosingLogManager extends LogManager {
   @Override
   public void reset() {}
 }
--- a/daemon/src/main/java/io/hingehoist/daemon/SettingsWatch.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/SettingsFileWatcher.java
@@ -15,8 +15,8 @@
  * Reads the settings file again when it changes, with or without a SIGHUP. A file that can't be
  * used changes nothing. Owned by the event loop.
  */
-final class SettingsWatch {
-  private static final long PERIOD_MS = 500;
+final class SettingsFileWatcher {
+  private static final long CHECK_PERIOD_MS = 500;
 
   private final Path file;
   private final EventLoop loop;
@@ -24,7 +24,7 @@
   private final Consumer<DaemonSettings> changes;
   private byte[] content;
 
-  private SettingsWatch(
+  private SettingsFileWatcher(
       Path file, EventLoop loop, DecisionLog log, Consumer<DaemonSettings> changes) {
     this.file = file;
     this.loop = loop;
@@ -34,9 +34,9 @@
   }
 
   static void start(Path file, EventLoop loop, DecisionLog log, Consumer<DaemonSettings> changes) {
-    SettingsWatch watch = new SettingsWatch(file, loop, log, changes);
-    loop.scheduleRepeating(watch::check, PERIOD_MS);
-    Hangups.handle(watch::onHangup);
+    SettingsFileWatcher watch = new SettingsFileWatcher(file, loop, log, changes);
+    loop.scheduleRepeating(watch::check, CHECK_PERIOD_MS);
+    HangupSignal.handle(watch::onHangup);
   }
 
   private void onHangup() {
--- a/daemon/src/main/java/io/hingehoist/entry/AgentLinks.java
+++ b/daemon/src/main/java/io/hingehoist/entry/AgentLinks.java
@@ -30,7 +30,7 @@
 
   /** Takes what agents say, on the dispatch thread. */
   interface Listener {
-    void onStatus(AgentStatus status, boolean opens);
+    void onStatus(AgentStatus status, boolean isNewConnection);
 
     void onMessage(String agentId, Message message);
 
@@ -38,11 +38,11 @@
   }
 
   private static final class Link {
-    private final FrameLink frames;
+    private final FrameLink frameLink;
     private long connectionId;
 
-    private Link(FrameLink frames) {
-      this.frames = frames;
+    private Link(FrameLink frameLink) {
+      this.frameLink = frameLink;
     }
   }
 
@@ -70,12 +70,12 @@
   }
 
   /** Opens links to new agents, and closes those to agents that are gone or have moved. */
-  void follow(List<AgentInfo> agents) {
-    Set<String> present = new HashSet<>();
+  void updateAgents(List<AgentInfo> agents) {
+    Set<String> currentAgentIds = new HashSet<>();
     for (AgentInfo agent : agents) {
-      present.add(agent.agentId());
+      currentAgentIds.add(agent.agentId());
       Link link = links.get(agent.agentId());
-      if (link != null && !link.frames.address().equals(agent.address())) {
+      if (link != null && !link.frameLink.address().equals(agent.address())) {
         close(agent.agentId());
         link = null;
       }
@@ -83,7 +83,9 @@
         links.put(agent.agentId(), new Link(open(agent)));
       }
     }
-    Set.copyOf(links.keySet()).stream().filter(id -> !present.contains(id)).forEach(this::close);
+    Set.copyOf(links.keySet()).stream()
+        .filter(id -> !currentAgentIds.contains(id))
+        .forEach(this::close);
   }
 
   private FrameLink open(AgentInfo agent) {
@@ -98,18 +100,18 @@
   }
 
   private void close(String agentId) {
-    links.remove(agentId).frames.close();
+    links.remove(agentId).frameLink.close();
   }
 
   void send(String agentId, Message message) {
     Link link = links.get(agentId);
     if (link != null) {
-      link.frames.send(message);
+      link.frameLink.send(message);
     }
   }
 
   void closeAll() {
-    links.values().forEach(link -> link.frames.close());
+    links.values().forEach(link -> link.frameLink.close());
   }
 
   private static boolean isFromAgent(Message message) {
@@ -150,9 +152,9 @@
         return;
       }
       if (message instanceof AgentStatus status && status.agentId().equals(agentId)) {
-        boolean opens = link.connectionId != connectionId;
+        boolean isNewConnection = link.connectionId != connectionId;
         link.connectionId = connectionId;
-        listener.onStatus(status, opens);
+        listener.onStatus(status, isNewConnection);
       } else if (link.connectionId == connectionId) {
         listener.onMessage(agentId, message);
       }
--- a/daemon/src/main/java/io/hingehoist/entry/BodyLimitFilter.java
+++ b/daemon/src/main/java/io/hingehoist/entry/BodyLimitFilter.java
@@ -35,14 +35,14 @@
   }
 
   private static void drain(InputStream body) throws IOException {
-    long left = MAX_DRAINED_BYTES;
-    while (left > 0) {
-      long skipped = body.skip(left);
+    long remainingBytes = MAX_DRAINED_BYTES;
+    while (remainingBytes > 0) {
+      long skipped = body.skip(remainingBytes);
       // A stream may skip nothing before its end; a read tells.
       if (skipped == 0 && body.read() < 0) {
         return;
       }
-      left -= Math.max(1, skipped);
+      remainingBytes -= Math.max(1, skipped);
     }
   }
 
@@ -57,7 +57,7 @@
   }
 
   private final class LimitedStream extends FilterInputStream {
-    private long left = maxBytes;
+    private long remainingBytes = maxBytes;
 
     private LimitedStream(InputStream in) {
       super(in);
@@ -78,8 +78,8 @@
     }
 
     private void count(int bytes) throws IOException {
-      left -= bytes;
-      if (left < 0) {
+      remainingBytes -= bytes;
+      if (remainingBytes < 0) {
         drain(in);
         throw tooLarge();
       }
--- a/daemon/src/main/java/io/hingehoist/entry/ControlSession.java
+++ b/daemon/src/main/java/io/hingehoist/entry/ControlSession.java
@@ -31,7 +31,7 @@
 
     void onMembers(MembersUpdate members);
 
-    void onLease(long untilMs, long floorMs);
+    void onLease(long expiresAtMs, long floorMs);
 
     void onAdopted(OwnedJob job);
 
@@ -49,11 +49,11 @@
   private boolean hasSettings;
   private long membersVersion = -1;
   private long incarnation = System.currentTimeMillis();
-  private long sentAtMs;
-  private boolean open;
-  private boolean registering;
+  private long lastSentAtMs;
+  private boolean heartbeatPending;
+  private boolean registrationPending;
   private boolean ended;
-  private long sleeps;
+  private long sleepCount;
 
   ControlSession(
       String entryId,
@@ -82,13 +82,13 @@
 
   /** Sends a heartbeat when one is due. */
   void onTick(long nowMs) {
-    if (ended || open || nowMs - sentAtMs < HEARTBEAT_MS) {
+    if (ended || heartbeatPending || nowMs - lastSentAtMs < HEARTBEAT_MS) {
       return;
     }
-    open = true;
-    sentAtMs = nowMs;
+    heartbeatPending = true;
+    lastSentAtMs = nowMs;
     long sentIncarnation = incarnation;
-    long sleepsBefore = sleeps;
+    long sleepCountAtSend = sleepCount;
     // Without settings yet, a revision that nobody has makes the leader send the whole tree.
     long revision = hasSettings ? settings.revision() : -1;
     List<Long> owned = ownedJobIds.get();
@@ -108,17 +108,17 @@
             (response, failure) ->
                 dispatchThread.execute(
                     () -> {
-                      open = false;
-                      if (response != null && isCurrent(sentIncarnation, sleepsBefore)) {
+                      heartbeatPending = false;
+                      if (response != null && isCurrent(sentIncarnation, sleepCountAtSend)) {
                         onResponse(response, nowMs);
                       }
                     }));
   }
 
   /** Lets only a heartbeat that is sent from now on bring a lease: this box may have slept. */
-  void noteSleep() {
-    sleeps++;
-    sentAtMs = 0;
+  void recordSleep() {
+    sleepCount++;
+    lastSentAtMs = 0;
   }
 
   /** Takes no new incarnation once this one is given up: the process is about to stop. */
@@ -126,22 +126,22 @@
     ended = true;
   }
 
-  private boolean isCurrent(long sentIncarnation, long sleepsBefore) {
-    return !ended && sentIncarnation == incarnation && sleepsBefore == sleeps;
+  private boolean isCurrent(long sentIncarnation, long sleepCountAtSend) {
+    return !ended && sentIncarnation == incarnation && sleepCountAtSend == sleepCount;
   }
 
   private void onResponse(HeartbeatResponse response, long requestSentAtMs) {
-    response.settings().ifPresent(this::takeSettings);
-    response.members().ifPresent(this::takeMembers);
+    response.settings().ifPresent(this::applySettings);
+    response.members().ifPresent(this::applyMembers);
     if (!response.registered()) {
       register();
       return;
     }
-    listener.onLease(Leases.untilMs(response, requestSentAtMs), response.floorMs());
+    listener.onLease(Leases.expiresAtMs(response, requestSentAtMs), response.floorMs());
     response.adopted().forEach(listener::onAdopted);
   }
 
-  private void takeSettings(SettingsUpdate update) {
+  private void applySettings(SettingsUpdate update) {
     if (hasSettings && update.revision() < settings.revision()) {
       return;
     }
@@ -151,7 +151,7 @@
     listener.onSettings(settings);
   }
 
-  private void takeMembers(MembersUpdate update) {
+  private void applyMembers(MembersUpdate update) {
     if (update.version() > membersVersion) {
       membersVersion = update.version();
       listener.onMembers(update);
@@ -159,18 +159,18 @@
   }
 
   private void register() {
-    if (registering) {
+    if (registrationPending) {
       return;
     }
-    registering = true;
+    registrationPending = true;
     control
         .propose(new RegisterEntry(entryId, incarnation, address, zone))
         .thenAccept(result -> dispatchThread.execute(() -> onRegistered(result)));
   }
 
   private void onRegistered(CommandResult result) {
-    registering = false;
-    sentAtMs = 0;
+    registrationPending = false;
+    lastSentAtMs = 0;
     if (result instanceof MemberRefused refused) {
       incarnation = Leases.nextIncarnation(refused);
       LOG.infof("event=incarnationRenewed entry=%s incarnation=%d", entryId, incarnation);
--- a/daemon/src/main/java/io/hingehoist/entry/EntryApplication.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryApplication.java
@@ -60,7 +60,7 @@
   }
 
   /** Leaves logging as the process has set it up. */
-  private static final class UntouchedLogging implements LoggingFactory {
+  private static final class NoOpLoggingFactory implements LoggingFactory {
     @Override
     public void configure(MetricRegistry metricRegistry, String name) {}
 
@@ -72,7 +72,7 @@
   }
 
   /** Tells Dropwizard's own page what {@code /health/ready} tells the balancer. */
-  private final class LeaseCheck extends HealthCheck {
+  private final class LeaseHealthCheck extends HealthCheck {
     @Override
     protected Result check() {
       return entry.isReady() ? Result.healthy() : Result.unhealthy("no fresh lease, or stopping");
@@ -82,10 +82,10 @@
   @Override
   public void initialize(Bootstrap<Configuration> bootstrap) {
     bootstrap.setConfigurationFactoryFactory(
-        (type, validator, mapper, prefix) -> new CheckedConfiguration());
+        (type, validator, mapper, prefix) -> new PresetConfigurationFactory());
   }
 
-  private final class CheckedConfiguration implements ConfigurationFactory<Configuration> {
+  private final class PresetConfigurationFactory implements ConfigurationFactory<Configuration> {
     @Override
     public Configuration build(ConfigurationSourceProvider provider, String path) {
       return build();
@@ -108,7 +108,7 @@
       factory.setRequestLogFactory(requestLog);
       Configuration configuration = new Configuration();
       configuration.setServerFactory(factory);
-      configuration.setLoggingFactory(new UntouchedLogging());
+      configuration.setLoggingFactory(new NoOpLoggingFactory());
       return configuration;
     }
   }
@@ -123,7 +123,7 @@
     jersey.register(injector.getInstance(JobResource.class));
     jersey.register(injector.getInstance(OperatorResource.class));
     jersey.register(injector.getInstance(HealthResource.class));
-    environment.healthChecks().register("lease", new LeaseCheck());
+    environment.healthChecks().register("lease", new LeaseHealthCheck());
     environment
         .servlets()
         .addServlet("metrics", new PrometheusMetricsServlet(metrics.registry()))
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -49,7 +49,7 @@
   private static final long SETTLE_POLL_MS = 20;
 
   /** How long the health check fails before new work is refused: the balancer has to notice. */
-  private static final long BALANCER_GRACE_MS = 1_000;
+  private static final long LOAD_BALANCER_GRACE_MS = 1_000;
 
   private final NodeSection node;
   private final EntrySection settings;
@@ -58,15 +58,15 @@
   private final Dispatcher dispatcher;
   private final ControlSession session;
   private final AgentLinks links;
-  private final JobDesk jobs;
+  private final JobManager jobs;
   private final Map<Long, CompletableFuture<Answer>> requests = new HashMap<>();
   private final InboxLoop<Runnable> loop;
   private long nextRequestId;
   private boolean hadLease;
-  private final SleepDetector sleepWatch = SleepDetector.create();
+  private final SleepDetector sleepDetector = SleepDetector.create();
   private volatile boolean ready;
-  private volatile boolean leaving;
-  private volatile boolean refusing;
+  private volatile boolean stopRequested;
+  private volatile boolean refusingNewWork;
   private volatile boolean settled;
   private volatile int waitingCount;
   private volatile int inFlightCount;
@@ -101,7 +101,7 @@
             new SessionListener(),
             dispatcher::ownedJobIds);
     this.jobs =
-        new JobDesk(
+        new JobManager(
             node.nodeId(), dispatcher, control, loop::add, this::carryOut, session::incarnation);
     addGauges();
   }
@@ -143,11 +143,11 @@
 
   /** After a sleep only a heartbeat that was sent since brings a lease. */
   private void checkSleep() {
-    long sleptMs = sleepWatch.sleptMs();
+    long sleptMs = sleepDetector.sleptMs();
     if (sleptMs > 0) {
       LOG.infof("event=mayHaveSlept entry=%s ms=%d", node.nodeId(), sleptMs);
       dispatcher.dropLease();
-      session.noteSleep();
+      session.recordSleep();
     }
   }
 
@@ -159,7 +159,7 @@
       hadLease = hasLease;
       LOG.infof("event=%s entry=%s", hasLease ? "leaseGained" : "leaseLost", node.nodeId());
     }
-    ready = hasLease && !leaving;
+    ready = hasLease && !stopRequested;
     settled = dispatcher.isSettled() && jobs.isSettled() && requests.isEmpty();
     waitingCount = dispatcher.waitingCount();
     inFlightCount = dispatcher.inFlightCount();
@@ -185,8 +185,8 @@
 
   private final class AgentListener implements AgentLinks.Listener {
     @Override
-    public void onStatus(AgentStatus status, boolean opens) {
-      carryOut(dispatcher.onAgentStatus(status, opens, nowMs()));
+    public void onStatus(AgentStatus status, boolean isNewConnection) {
+      carryOut(dispatcher.onAgentStatus(status, isNewConnection, nowMs()));
     }
 
     @Override
@@ -211,12 +211,12 @@
     @Override
     public void onMembers(MembersUpdate members) {
       carryOut(dispatcher.onMembers(members.agents(), nowMs()));
-      links.follow(members.agents());
+      links.updateAgents(members.agents());
     }
 
     @Override
-    public void onLease(long untilMs, long floorMs) {
-      carryOut(dispatcher.onLease(untilMs, floorMs, nowMs()));
+    public void onLease(long expiresAtMs, long floorMs) {
+      carryOut(dispatcher.onLease(expiresAtMs, floorMs, nowMs()));
     }
 
     @Override
@@ -262,7 +262,7 @@
     CompletableFuture<Answer> answer = new CompletableFuture<>();
     loop.add(
         () -> {
-          LocalJob job = jobs.submit(submission, refusing, nowMs());
+          LocalJob job = jobs.submit(submission, refusingNewWork, nowMs());
           (wait ? job.ended() : job.admitted()).thenAccept(answer::complete);
         });
     return answer;
@@ -279,7 +279,7 @@
     long now = nowMs();
     long deadlineMs = now + submission.deadlineAtMs() - System.currentTimeMillis();
     Optional<RequestOutcome.Refused> refusal =
-        refusing
+        refusingNewWork
             ? Optional.of(Refusals.stopping())
             : dispatcher.refusalOf(submission.service(), submission.jobClass(), 1, deadlineMs, now);
     if (refusal.isPresent()) {
@@ -323,11 +323,11 @@
    * @return whether everything was settled in time
    */
   public boolean stop() {
-    leaving = true;
+    stopRequested = true;
     ready = false;
     LOG.infof("event=entryLeaving entry=%s", node.nodeId());
-    pauseMs(BALANCER_GRACE_MS);
-    refusing = true;
+    pauseMs(LOAD_BALANCER_GRACE_MS);
+    refusingNewWork = true;
     long giveUpAtMs = nowMs() + settings.stopTimeoutMs();
     // One whole turn of the dispatch thread must have seen the refusal before "settled" counts.
     pauseMs(4 * POLL_MS);
@@ -342,14 +342,14 @@
 
   /** Nothing may start under this incarnation once the log says that it has ended. */
   private void endIncarnation() {
-    CompletableFuture<Void> abandoned = new CompletableFuture<>();
+    CompletableFuture<Void> jobsAbandoned = new CompletableFuture<>();
     loop.add(
         () -> {
           session.end();
           carryOut(dispatcher.onIncarnationEnded());
-          abandoned.complete(null);
+          jobsAbandoned.complete(null);
         });
-    abandoned.join();
+    jobsAbandoned.join();
     CompletableFuture<CommandResult> ended =
         control.propose(new EndEntry(node.nodeId(), session.incarnation(), "planned stop"));
     ended.completeOnTimeout(null, REPORT_TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
--- a/daemon/src/main/java/io/hingehoist/entry/JobDesk.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobManager.java
@@ -37,13 +37,13 @@
  * Takes submissions of jobs from refusal or admission to their final answer. Owned by the dispatch
  * thread; the futures that it returns complete on any thread.
  */
-final class JobDesk {
+final class JobManager {
   /** How long after its deadline the answer of a job may take to be committed. */
   private static final long ANSWER_GRACE_MS = 2_000;
 
   private static final long FIND_WAIT_MS = 5_000;
-  private static final long FIND_MARGIN_MS = 1_500;
-  private static final long ADMIT_AGAIN_MS = 100;
+  private static final long QUERY_MARGIN_MS = 1_500;
+  private static final long ADMISSION_RETRY_DELAY_MS = 100;
   private static final long RETRY_AFTER_MS = 1_000;
 
   private record Key(String caller, String submissionId) {}
@@ -58,7 +58,7 @@
   private final Map<Long, LocalJob> byJobId = new HashMap<>();
   private final Set<Long> adopting = new HashSet<>();
 
-  JobDesk(
+  JobManager(
       String entryId,
       Dispatcher dispatcher,
       ControlClient control,
@@ -90,7 +90,7 @@
       job.ended()
           .whenComplete((answer, failure) -> dispatchThread.execute(() -> byKey.remove(key, job)));
     }
-    giveUpInTime(job);
+    scheduleTimeout(job);
     Optional<RequestOutcome.Refused> refusal =
         refuseAll ? Optional.of(Refusals.stopping()) : refusalOf(submission, nowMs);
     if (refusal.isPresent()) {
@@ -101,7 +101,7 @@
     return job;
   }
 
-  private static void giveUpInTime(LocalJob job) {
+  private static void scheduleTimeout(LocalJob job) {
     long leftMs = job.submission().deadlineAtMs() - System.currentTimeMillis() + ANSWER_GRACE_MS;
     Answer unknown = new Answer.Unknown("no outcome is known in time", RETRY_AFTER_MS);
     job.admitted().completeOnTimeout(unknown, Math.max(1, leftMs), TimeUnit.MILLISECONDS);
@@ -125,7 +125,7 @@
   private void refuseUnlessKnown(LocalJob job, RequestOutcome.Refused refusal) {
     JobSubmission submission = job.submission();
     control
-        .query(new FindJob(submission.caller(), submission.submissionId(), 0), FIND_MARGIN_MS)
+        .query(new FindJob(submission.caller(), submission.submissionId(), 0), QUERY_MARGIN_MS)
         .whenComplete(
             (answer, failure) -> {
               if (failure != null) {
@@ -171,14 +171,14 @@
     boolean owned = admittingIncarnation == incarnation.getAsLong();
     switch (result) {
       case Admitted admitted when owned -> start(job, admitted);
-      case Admitted admitted -> awaitElsewhere(job);
+      case Admitted admitted -> awaitRemoteOutcome(job);
       case Attached attached -> {
         job.admitted().complete(new Answer.Running(-1, job.submission().payloads().size()));
-        awaitElsewhere(job);
+        awaitRemoteOutcome(job);
       }
       case AlreadyEnded already -> job.end(toAnswer(already.outcome()));
       case AdmissionRefused refused when refused.reason() == RefusalReason.ENTRY_NOT_LIVE ->
-          admitAgain(job);
+          retryAdmission(job);
       case AdmissionRefused refused -> job.end(Refusals.toAnswer(refused));
       default -> throw new IllegalStateException("not an answer to an admission: " + result);
     }
@@ -188,8 +188,9 @@
    * The incarnation ended while the admission was on its way, as after a freeze: nothing was
    * admitted, and this entry is about to register anew. The caller's deadline bounds the tries.
    */
-  private void admitAgain(LocalJob job) {
-    CompletableFuture.delayedExecutor(ADMIT_AGAIN_MS, TimeUnit.MILLISECONDS, dispatchThread)
+  private void retryAdmission(LocalJob job) {
+    CompletableFuture.delayedExecutor(
+            ADMISSION_RETRY_DELAY_MS, TimeUnit.MILLISECONDS, dispatchThread)
         .execute(
             () -> {
               if (!job.ended().isDone()) {
@@ -222,7 +223,7 @@
       return;
     }
     control
-        .query(new GetJob(owned.jobId()), FIND_MARGIN_MS)
+        .query(new GetJob(owned.jobId()), QUERY_MARGIN_MS)
         .whenComplete(
             (answer, failure) ->
                 dispatchThread.execute(
@@ -271,7 +272,7 @@
     }
     effects.accept(dispatcher.onOutcomeStale(commit.jobId()));
     if (job != null) {
-      awaitElsewhere(job);
+      awaitRemoteOutcome(job);
     }
   }
 
@@ -279,11 +280,11 @@
   void onIncarnationEnded() {
     List<LocalJob> left = List.copyOf(byJobId.values());
     byJobId.clear();
-    left.forEach(this::awaitElsewhere);
+    left.forEach(this::awaitRemoteOutcome);
   }
 
   /** Waits for an outcome that another entry commits. */
-  private void awaitElsewhere(LocalJob job) {
+  private void awaitRemoteOutcome(LocalJob job) {
     if (job.ended().isDone()) {
       return;
     }
@@ -297,8 +298,8 @@
                       || answer instanceof Answer.Unknown;
               if (open) {
                 CompletableFuture.delayedExecutor(
-                        FIND_MARGIN_MS / 10, TimeUnit.MILLISECONDS, dispatchThread)
-                    .execute(() -> awaitElsewhere(job));
+                        QUERY_MARGIN_MS / 10, TimeUnit.MILLISECONDS, dispatchThread)
+                    .execute(() -> awaitRemoteOutcome(job));
               } else {
                 job.end(answer);
               }
@@ -308,7 +309,7 @@
   /** Returns what is known of a submission, after waiting up to a time for its end. */
   CompletableFuture<Answer> find(String caller, String submissionId, long waitMs) {
     return control
-        .query(new FindJob(caller, submissionId, waitMs), waitMs + FIND_MARGIN_MS)
+        .query(new FindJob(caller, submissionId, waitMs), waitMs + QUERY_MARGIN_MS)
         .thenApplyAsync(this::toAnswer, dispatchThread)
         .exceptionally(failure -> new Answer.Unknown("no control replica leads", RETRY_AFTER_MS));
   }
--- a/daemon/src/main/java/io/hingehoist/entry/JobResource.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobResource.java
@@ -43,10 +43,11 @@
       JobBody body,
       @QueryParam("wait") @DefaultValue("true") boolean wait,
       @Suspended AsyncResponse response) {
-    JobBody present = Submissions.required("(whole body)", body);
+    JobBody requiredBody = Submissions.required("(whole body)", body);
     JobSubmission submission =
-        Submissions.check(present, this::defaultDeadlineMs, System.currentTimeMillis());
-    Answers.send(limit.within(() -> entry.submitJob(submission, wait)), response, "job", metrics);
+        Submissions.check(requiredBody, this::defaultDeadlineMs, System.currentTimeMillis());
+    Answers.send(
+        limit.runIfBelowLimit(() -> entry.submitJob(submission, wait)), response, "job", metrics);
   }
 
   /** Returns what is known of a submission. */
@@ -61,25 +62,35 @@
       throw new InvalidFieldException("waitMs", waitMs, "0 to " + MAX_WAIT_MS);
     }
     Answers.send(
-        limit.within(() -> entry.findJob(caller, submissionId, waitMs)), response, "find", metrics);
+        limit.runIfBelowLimit(() -> entry.findJob(caller, submissionId, waitMs)),
+        response,
+        "find",
+        metrics);
   }
 
   /** Runs a single request. */
   @POST
   @Path("/requests")
   public void runRequest(RequestBody body, @Suspended AsyncResponse response) {
-    RequestBody present = Submissions.required("(whole body)", body);
-    boolean repeatable = Submissions.required("repeatable", present.repeatable());
+    RequestBody requiredBody = Submissions.required("(whole body)", body);
+    boolean repeatable = Submissions.required("repeatable", requiredBody.repeatable());
     long now = System.currentTimeMillis();
     if (repeatable) {
       RequestSubmission submission =
-          Submissions.checkRepeatable(present, this::defaultDeadlineMs, now);
+          Submissions.checkRepeatable(requiredBody, this::defaultDeadlineMs, now);
       Answers.send(
-          limit.within(() -> entry.runRequest(submission)), response, "repeatable", metrics);
+          limit.runIfBelowLimit(() -> entry.runRequest(submission)),
+          response,
+          "repeatable",
+          metrics);
     } else {
-      JobSubmission submission = Submissions.checkOnce(present, this::defaultDeadlineMs, now);
+      JobSubmission submission =
+          Submissions.checkNonRepeatable(requiredBody, this::defaultDeadlineMs, now);
       Answers.send(
-          limit.within(() -> entry.submitJob(submission, true)), response, "once", metrics);
+          limit.runIfBelowLimit(() -> entry.submitJob(submission, true)),
+          response,
+          "once",
+          metrics);
     }
   }
 }
--- a/daemon/src/main/java/io/hingehoist/entry/OperatorResource.java
+++ b/daemon/src/main/java/io/hingehoist/entry/OperatorResource.java
@@ -80,15 +80,15 @@
   @POST
   @Path("/settings")
   public void changeSettings(ChangeBody body, @Suspended AsyncResponse response) {
-    ChangeBody present = Submissions.required("(whole body)", body);
+    ChangeBody requiredBody = Submissions.required("(whole body)", body);
     ChangeSettings change =
         new ChangeSettings(
-            Submissions.id("changeId", present.changeId()),
-            Submissions.required("baseRevision", present.baseRevision()),
-            Submissions.required("path", present.path()),
-            Submissions.required("key", present.key()),
-            Optional.ofNullable(present.value()),
-            Submissions.id("operator", present.operator()));
+            Submissions.id("changeId", requiredBody.changeId()),
+            Submissions.required("baseRevision", requiredBody.baseRevision()),
+            Submissions.required("path", requiredBody.path()),
+            Submissions.required("key", requiredBody.key()),
+            Optional.ofNullable(requiredBody.value()),
+            Submissions.id("operator", requiredBody.operator()));
     propose(change, response);
   }
 
--- a/daemon/src/main/java/io/hingehoist/entry/Submissions.java
+++ b/daemon/src/main/java/io/hingehoist/entry/Submissions.java
@@ -46,7 +46,7 @@
   }
 
   /** Returns the checked submission of a request that must not be repeated: a job of one task. */
-  static JobSubmission checkOnce(
+  static JobSubmission checkNonRepeatable(
       RequestBody body, ToLongBiFunction<String, String> defaultDeadlineMs, long nowWallMs) {
     return submission(
         body.caller(),
--- a/daemon/src/main/java/io/hingehoist/entry/WaitingLimit.java
+++ b/daemon/src/main/java/io/hingehoist/entry/WaitingLimit.java
@@ -23,7 +23,7 @@
    * Starts what a caller asks for, unless too many wait. The answer is "unknown" then, not
    * "refused": whether the same submission was admitted before has not been looked up.
    */
-  CompletableFuture<Answer> within(Supplier<CompletableFuture<Answer>> action) {
+  CompletableFuture<Answer> runIfBelowLimit(Supplier<CompletableFuture<Answer>> action) {
     if (waiting.incrementAndGet() > limit) {
       waiting.decrementAndGet();
       Answer busy = new Answer.Unknown("too many callers wait here", RETRY_AFTER_MS);
--- a/daemon/src/main/java/io/hingehoist/journal/Journal.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Journal.java
@@ -50,7 +50,7 @@
     Optional<Identity> found = Identity.read(folder);
     List<Path> segments = Folders.listSorted(folder, SUFFIX);
     if (found.isEmpty() && segments.isEmpty()) {
-      journal.format(DurableState.blank(), Identity.random());
+      journal.initialize(DurableState.blank(), Identity.random());
       return journal;
     }
     if (found.isEmpty() || segments.isEmpty()) {
@@ -74,13 +74,13 @@
             identity.replicaId(), replicaAddress, nowMs);
     DurableState state = new DurableState(1, "", LogSnapshot.empty(), List.of(first));
     try (Journal journal = new Journal(folder, disk, Metrics.create())) {
-      journal.format(state, identity);
+      journal.initialize(state, identity);
     }
     return identity;
   }
 
   /** The identity is written last: a folder that has one is complete. */
-  private void format(DurableState state, Identity newIdentity) throws IOException {
+  private void initialize(DurableState state, Identity newIdentity) throws IOException {
     recovered = state;
     startSegment(0, state.term(), state.votedFor(), state.entries());
     identity = newIdentity;
--- a/daemon/src/main/java/io/hingehoist/journal/JournalReader.java
+++ b/daemon/src/main/java/io/hingehoist/journal/JournalReader.java
@@ -43,7 +43,7 @@
     while (offset < file.limit()) {
       Optional<List<Bytes>> block = Blocks.read(file, offset);
       if (block.isEmpty()) {
-        cutTail(segment, file, offset, last);
+        truncateTornTail(segment, file, offset, last);
         return;
       }
       applyBlock(segment, offset, block.get());
@@ -52,7 +52,7 @@
   }
 
   /** Only the last block of the last segment can be torn; anything else was synced before. */
-  private static void cutTail(Path segment, ByteBuffer file, int offset, boolean last)
+  private static void truncateTornTail(Path segment, ByteBuffer file, int offset, boolean last)
       throws IOException {
     if (!last) {
       throw DamageException.at(segment, offset, "a bad block in a finished segment");
--- a/daemon/src/test/java/io/hingehoist/client/ControlClientTest.java
+++ b/daemon/src/test/java/io/hingehoist/client/ControlClientTest.java
@@ -30,15 +30,15 @@
 public final class ControlClientTest {
   private static final ThreadFactory THREADS = Thread.ofVirtual().factory();
 
-  private final AtomicInteger asked = new AtomicInteger();
-  private int refusals;
-  private ReplyStatus refusal;
+  private final AtomicInteger queryCount = new AtomicInteger();
+  private int refusalCount;
+  private ReplyStatus refusalStatus;
   private FrameServer replica;
   private ControlClient client;
 
   @BeforeMethod
   public void openReplica() throws IOException {
-    asked.set(0);
+    queryCount.set(0);
     String address;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       address = "127.0.0.1:" + free.getLocalPort();
@@ -70,34 +70,34 @@
   }
 
   private QueryResponse answer(QueryRequest request) {
-    boolean refuses = asked.incrementAndGet() <= refusals;
-    return refuses
-        ? new QueryResponse(request.requestId(), refusal, "", Bytes.empty())
+    boolean refused = queryCount.incrementAndGet() <= refusalCount;
+    return refused
+        ? new QueryResponse(request.requestId(), refusalStatus, "", Bytes.empty())
         : new QueryResponse(request.requestId(), ReplyStatus.OK, "", new NoSuchJob().toBytes());
   }
 
   @Test
-  public void aReadIsRepeatedWhileTheLeaderChanges() {
-    refusals = 2;
-    refusal = ReplyStatus.NOT_LEADER;
+  public void queryIsRetriedWhileTheLeaderChanges() {
+    refusalCount = 2;
+    refusalStatus = ReplyStatus.NOT_LEADER;
     assertEquals(client.query(new GetJob(1), 30_000).join(), new NoSuchJob());
-    assertEquals(asked.get(), 3);
+    assertEquals(queryCount.get(), 3);
   }
 
   @Test
-  public void aReadWithoutALeaderFailsOnceItsTimeIsOver() {
-    refusals = Integer.MAX_VALUE;
-    refusal = ReplyStatus.UNAVAILABLE;
+  public void queryWithoutALeaderFailsAfterItsTimeout() {
+    refusalCount = Integer.MAX_VALUE;
+    refusalStatus = ReplyStatus.UNAVAILABLE;
     CompletionException failure =
         expectThrows(CompletionException.class, () -> client.query(new GetJob(1), 300).join());
     assertEquals(failure.getCause().getClass(), ControlUnavailableException.class);
   }
 
   @Test
-  public void aReadThatCannotBeUnderstoodIsNotRepeated() {
-    refusals = Integer.MAX_VALUE;
-    refusal = ReplyStatus.INVALID;
+  public void invalidQueryIsNotRetried() {
+    refusalCount = Integer.MAX_VALUE;
+    refusalStatus = ReplyStatus.INVALID;
     expectThrows(CompletionException.class, () -> client.query(new GetJob(1), 30_000).join());
-    assertEquals(asked.get(), 1);
+    assertEquals(queryCount.get(), 1);
   }
 }
--- a/daemon/src/test/java/io/hingehoist/config/SettingsFileTest.java
+++ b/daemon/src/test/java/io/hingehoist/config/SettingsFileTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 public final class SettingsFileTest {
-  private static final String SOUND =
+  private static final String VALID =
       """
       node:
         nodeId: server-1
@@ -32,15 +32,15 @@
   }
 
   @Test
-  public void aSoundFileIsReadWithDefaults() throws IOException {
-    DaemonSettings settings = ((SettingsResult.Valid) read(SOUND)).settings();
+  public void validFileIsReadWithDefaults() throws IOException {
+    DaemonSettings settings = ((SettingsResult.Valid) read(VALID)).settings();
     assertEquals(settings.node().roles(), List.of("entry", "control"));
     assertEquals(settings.control().get().leaseMs(), 3_000);
     assertTrue(settings.agent().isEmpty());
   }
 
   @DataProvider
-  public Object[][] faults() {
+  public Object[][] invalidFiles() {
     return new Object[][] {
       {"nodeId: server-1", "nodeIdd: server-1", "node.nodeIdd: value \"(unknown key)\""},
       {"nodeId: server-1", "nodeId: [a]", "node.nodeId: value \"[a]\""},
@@ -59,11 +59,11 @@
     };
   }
 
-  @Test(dataProvider = "faults")
-  public void eachFaultIsOneLineWithFileFieldValueAndRange(
-      String sound, String faulty, String expected) throws IOException {
+  @Test(dataProvider = "invalidFiles")
+  public void eachProblemIsOneLineWithFileFieldValueAndRange(
+      String validText, String invalidText, String expected) throws IOException {
     List<String> problems =
-        ((SettingsResult.Invalid) read(SOUND.replace(sound, faulty))).problems();
+        ((SettingsResult.Invalid) read(VALID.replace(validText, invalidText))).problems();
     String found = String.join("\n", problems);
     assertTrue(found.contains(expected), found);
     assertTrue(problems.stream().allMatch(line -> line.contains("allowed: ")), found);
@@ -72,17 +72,17 @@
   }
 
   @Test
-  public void anchorsThatBlowUpAreRefused() throws IOException {
-    StringBuilder bomb = new StringBuilder("a0: &a0 [x, x]\n");
+  public void exponentialAliasExpansionIsRefused() throws IOException {
+    StringBuilder document = new StringBuilder("a0: &a0 [x, x]\n");
     for (int i = 1; i < 30; i++) {
-      bomb.append("a%d: &a%d [*a%d, *a%d]%n".formatted(i, i, i - 1, i - 1));
+      document.append("a%d: &a%d [*a%d, *a%d]%n".formatted(i, i, i - 1, i - 1));
     }
-    SettingsResult result = read(bomb.toString());
+    SettingsResult result = read(document.toString());
     assertTrue(result.toString().contains("aliases"), result.toString());
   }
 
   @Test
-  public void aMissingFileIsAProblem() {
+  public void missingFileIsReported() {
     SettingsResult result = SettingsFile.read(Path.of("no-such-file.yaml"));
     assertTrue(((SettingsResult.Invalid) result).problems().getFirst().contains("readable"));
   }
--- a/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
+++ b/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
@@ -60,7 +60,7 @@
   }
 
   @Test
-  public void whatWasSyncedIsReadBack() throws IOException {
+  public void syncedStepsAreReadBack() throws IOException {
     try (Journal journal = open()) {
       journal.addVote(3, "candidate");
       journal.addEntries(List.of(entry(1), entry(2), entry(3)));
@@ -74,7 +74,7 @@
   }
 
   @Test
-  public void theIdentityLivesAndDiesWithTheDisk() throws IOException {
+  public void identityIsKeptInItsFolderAndNewInAnother() throws IOException {
     Identity first = open().identity();
     assertEquals(open().identity(), first);
     folder = Files.createTempDirectory("journal");
@@ -82,19 +82,19 @@
   }
 
   @Test
-  public void aTornTailIsCutBack() throws IOException {
+  public void tornTailIsTruncated() throws IOException {
     writeEntries(3);
-    long whole = Files.size(segment());
-    for (int cut = 1; cut < 20; cut++) {
+    long untruncatedSize = Files.size(segment());
+    for (int missingBytes = 1; missingBytes < 20; missingBytes++) {
       try (FileChannel channel = FileChannel.open(segment(), StandardOpenOption.WRITE)) {
-        channel.truncate(whole - cut);
+        channel.truncate(untruncatedSize - missingBytes);
       }
       assertEquals(recovered().entries(), List.of(entry(1), entry(2)));
-      writeThirdAgain();
+      rewriteThirdEntry();
     }
   }
 
-  private void writeThirdAgain() throws IOException {
+  private void rewriteThirdEntry() throws IOException {
     try (Journal journal = open()) {
       journal.addEntries(List.of(entry(3)));
       journal.sync();
@@ -103,7 +103,7 @@
   }
 
   @Test
-  public void damageBeforeTheTailStopsTheStartAndNamesFileAndOffset() throws IOException {
+  public void damageBeforeTheTailFailsOpenWithFileAndOffset() throws IOException {
     writeEntries(3);
     ByteBuffer content = ByteBuffer.wrap(Files.readAllBytes(segment()));
     int secondBlock = Blocks.sizeAt(content, 0);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  public void aDamagedFirstBlockIsNotTakenForATornTail() throws IOException {
+  public void damagedFirstBlockIsNotTreatedAsATornTail() throws IOException {
     writeEntries(0);
     byte[] content = Files.readAllBytes(segment());
     content[content.length - 1]++;
@@ -124,14 +124,14 @@
   }
 
   @Test
-  public void anIdentityWithoutSegmentsStopsTheStart() throws IOException {
+  public void identityWithoutSegmentsFailsOpen() throws IOException {
     writeEntries(1);
     Files.delete(segment());
     assertThrows(DamageException.class, this::recovered);
   }
 
   @Test
-  public void aSnapshotStandsForWhatCameBefore() throws IOException {
+  public void snapshotReplacesTheEntriesItCovers() throws IOException {
     LogSnapshot snapshot =
         new LogSnapshot(2, 1, new ReplicaSet(List.of()), Bytes.copyOf(new byte[] {9}));
     try (Journal journal = open()) {
@@ -149,7 +149,7 @@
   }
 
   @Test
-  public void aDamagedSnapshotStopsTheStart() throws IOException {
+  public void damagedSnapshotFailsOpen() throws IOException {
     try (Journal journal = open()) {
       journal.addEntries(List.of(entry(1)));
       journal.sync();
@@ -165,7 +165,7 @@
   }
 
   @Test
-  public void aCrashBetweenSnapshotAndNewSegmentLosesNothing() throws IOException {
+  public void crashBetweenSnapshotAndNewSegmentLosesNothing() throws IOException {
     writeEntries(3);
     LogSnapshot snapshot =
         new LogSnapshot(2, 1, new ReplicaSet(List.of()), Bytes.copyOf(new byte[] {9}));
@@ -175,7 +175,7 @@
 
   /** A disk that fails from a moment on, as a full or broken one does. */
   private static final class FailingDisk implements Disk {
-    private boolean full;
+    private boolean isFull;
     private boolean syncFails;
 
     @Override
@@ -184,7 +184,7 @@
       return new SyncedFile() {
         @Override
         public void append(ByteBuffer bytes) throws IOException {
-          if (full) {
+          if (isFull) {
             bytes.limit(bytes.remaining() / 2);
             file.append(bytes);
             throw new IOException("No space left on device");
@@ -209,19 +209,19 @@
   }
 
   @Test
-  public void aFullDiskIsAnErrorAndWhatWasSyncedBeforeStands() throws IOException {
+  public void fullDiskFailsSyncAndKeepsEarlierEntries() throws IOException {
     FailingDisk disk = new FailingDisk();
     Journal journal = Journal.open(folder, disk, Metrics.create());
     journal.addEntries(List.of(entry(1)));
     journal.sync();
-    disk.full = true;
+    disk.isFull = true;
     journal.addEntries(List.of(entry(2)));
     assertThrows(IOException.class, journal::sync);
     assertEquals(recovered().entries(), List.of(entry(1)));
   }
 
   @Test
-  public void aFailingSyncIsAnError() throws IOException {
+  public void failedSyncThrows() throws IOException {
     FailingDisk disk = new FailingDisk();
     Journal journal = Journal.open(folder, disk, Metrics.create());
     disk.syncFails = true;
@@ -230,7 +230,7 @@
   }
 
   @Test
-  public void foundingTwiceIsRefused() throws IOException {
+  public void foundingASecondTimeFails() throws IOException {
     Journal.found(folder, Disk.real(), "c", "127.0.0.1:1", 1);
     assertThrows(
         IOException.class, () -> Journal.found(folder, Disk.real(), "d", "127.0.0.1:1", 1));
