--- a/cli/src/main/java/io/hingehoist/cli/Command.java
+++ b/cli/src/main/java/io/hingehoist/cli/Command.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** One command of the command line. */
+/** A command of the command line. */
 sealed interface Command
     permits SettingsCommands.Get,
         SettingsCommands.Set,
@@ -21,6 +21,6 @@
         ReportCommands.Audit,
         ReportCommands.Status {
 
-  /** Carries the command out. */
+  /** Runs the command, and returns the exit code. */
   ExitCode run(EntryClient client, Output output) throws IOException;
 }
--- a/cli/src/main/java/io/hingehoist/cli/EntryClient.java
+++ b/cli/src/main/java/io/hingehoist/cli/EntryClient.java
@@ -14,13 +14,13 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Talks to entries over HTTP, and turns to the next one if one does not answer. */
+/** An HTTP client for entries that tries the next entry if one does not answer. */
 final class EntryClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration RESPONSE_TIMEOUT = Duration.ofMinutes(11);
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** An entry's answer. */
+  /** The response of an entry. */
   record Response(int status, JsonNode body) {
     boolean isOk() {
       return status / 100 == 2;
@@ -53,7 +53,10 @@
         path, HttpRequest.newBuilder().header("Content-Type", "application/json").POST(publisher));
   }
 
-  /** What is sent again is the same request under the same id, so sending it twice is safe. */
+  /**
+   * Sends a request to the first entry that answers. A repeated request has the same id, so sending
+   * it twice is safe.
+   */
   private Response send(String path, HttpRequest.Builder request) throws IOException {
     IOException lastFailure = new IOException("no entry is named");
     for (String address : addresses) {
--- a/cli/src/main/java/io/hingehoist/cli/ExitCode.java
+++ b/cli/src/main/java/io/hingehoist/cli/ExitCode.java
@@ -5,9 +5,11 @@
   OK(0),
   /** The answer is "refused" or "failed". */
   REFUSED(1),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(64),
-  /** No entry answers, or the outcome is unknown: do it again under the same id. */
+  /**
+   * No entry answered, or the outcome is unknown; the command can be repeated under the same id.
+   */
   UNAVAILABLE(69);
 
   private final int code;
--- a/cli/src/main/java/io/hingehoist/cli/ExplainCommand.java
+++ b/cli/src/main/java/io/hingehoist/cli/ExplainCommand.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tells the story of one job from the logs of the processes. */
+/** Shows the timeline of a job, extracted from the logs of the processes. */
 @Parameters(
     commandDescription =
         "Shows what logs say of a job, in order; reads standard input without --file")
--- a/cli/src/main/java/io/hingehoist/cli/JobCommands.java
+++ b/cli/src/main/java/io/hingehoist/cli/JobCommands.java
@@ -18,7 +18,7 @@
 
   private JobCommands() {}
 
-  /** Follows a job to its end and shows how far it is. */
+  /** Polls a job until it ends, and shows its progress. */
   private static ExitCode follow(
       EntryClient client, Output output, String caller, String submissionId) throws IOException {
     String path = "/v1/jobs/" + caller + "/" + submissionId + "?waitMs=" + PROGRESS_WAIT_MS;
--- a/cli/src/main/java/io/hingehoist/cli/JobTimeline.java
+++ b/cli/src/main/java/io/hingehoist/cli/JobTimeline.java
@@ -13,13 +13,13 @@
 import java.util.stream.Stream;
 
 /**
- * What the logs of all processes say of one job, in order of time: each line that names the job,
- * and each change of a host, worker or owner that such a line names.
+ * The log lines of all processes about one job, in order of time. It contains each line that names
+ * the job, and the state changes of each host, worker or owner named in these lines.
  */
 final class JobTimeline {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  /** Events that tell of a process and not of a job. */
+  /** Events that concern a process rather than a job. */
   private static final Set<String> CONTEXT_EVENTS =
       Set.of(
           "hostFound",
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Returns the story of a job.
+   * Returns the timeline of a job.
    *
-   * @param log the lines of logs; what stands before the first brace of a line is passed over
+   * @param log the log lines; text before the first opening brace of a line is ignored
    */
   static JobTimeline of(String jobId, Stream<String> log) {
     List<JsonNode> all = log.map(JobTimeline::parse).flatMap(Optional::stream).toList();
@@ -103,7 +103,7 @@
     return MAPPER.createArrayNode().addAll(lines);
   }
 
-  /** Returns a line an event, with times from the first one on. */
+  /** Returns one line for each event, with its time relative to the first event. */
   String toText() {
     StringBuilder text = new StringBuilder();
     for (JsonNode line : lines) {
--- a/cli/src/main/java/io/hingehoist/cli/Main.java
+++ b/cli/src/main/java/io/hingehoist/cli/Main.java
@@ -6,10 +6,10 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Starts {@code hingehoist}. */
+/** The entry point of {@code hingehoist}. */
 public final class Main {
 
-  /** Parameters of every command. */
+  /** Options common to all commands. */
   private static final class CommonOptions {
     @Parameter(
         names = "--entry",
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Parameters of a group of commands, or of a command's own help. */
+  /** Options of a group of commands. */
   private static final class CommandGroup {
     @Parameter(names = "--help", help = true, description = "Show this")
     private boolean help;
--- a/cli/src/main/java/io/hingehoist/cli/MemberCommands.java
+++ b/cli/src/main/java/io/hingehoist/cli/MemberCommands.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
 
-/** The commands about members. */
+/** The commands for members. */
 final class MemberCommands {
   private MemberCommands() {}
 
--- a/cli/src/main/java/io/hingehoist/cli/OperatorCommand.java
+++ b/cli/src/main/java/io/hingehoist/cli/OperatorCommand.java
@@ -3,7 +3,7 @@
 import com.beust.jcommander.Parameter;
 import java.io.IOException;
 
-/** What the commands share that change something in an operator's name. */
+/** Base class of the commands that make a change in the name of an operator. */
 abstract class OperatorCommand {
   @Parameter(names = "--operator", description = "Who makes the change")
   private String operator = System.getProperty("user.name");
@@ -12,7 +12,7 @@
     return operator;
   }
 
-  /** Orders a change that a path says in full. */
+  /** Posts a change that is fully described by the path. */
   final ExitCode postChange(EntryClient client, Output output, String path) throws IOException {
     return output.writeChange(client.post(path, EntryClient.newObject().put("operator", operator)));
   }
--- a/cli/src/main/java/io/hingehoist/cli/Output.java
+++ b/cli/src/main/java/io/hingehoist/cli/Output.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintStream;
 
-/** Writes answers: JSON for scripts, text for people. */
+/** Writes results as JSON for scripts or as text for operators. */
 final class Output {
   private final PrintStream out;
   private final boolean json;
@@ -13,7 +13,7 @@
     this.json = json;
   }
 
-  /** Writes an answer as JSON, or else as the text for people. */
+  /** Writes a response as JSON, or the given text if JSON was not requested. */
   void write(JsonNode body, Object text) {
     if (json) {
       out.println(body);
@@ -23,14 +23,14 @@
     }
   }
 
-  /** Writes a line about progress, for people only. */
+  /** Writes a line about progress, unless JSON was requested. */
   void progress(String line) {
     if (!json) {
       out.println(line);
     }
   }
 
-  /** Writes the answer to a change, and returns what it means for the exit code. */
+  /** Writes the response to a change, and returns the exit code for it. */
   ExitCode writeChange(EntryClient.Response response) {
     JsonNode body = response.body();
     StringBuilder text =
@@ -45,7 +45,7 @@
     return exitCodeOf(response);
   }
 
-  /** Returns what a reply means for the exit code. */
+  /** Returns the exit code for a response. */
   static ExitCode exitCodeOf(EntryClient.Response response) {
     if (response.isOk()) {
       return response.body().has("error") ? ExitCode.REFUSED : ExitCode.OK;
--- a/cli/src/main/java/io/hingehoist/cli/SettingsCommands.java
+++ b/cli/src/main/java/io/hingehoist/cli/SettingsCommands.java
@@ -11,7 +11,7 @@
 final class SettingsCommands {
   private SettingsCommands() {}
 
-  /** Parameters of a change. */
+  /** Parameters of a settings change. */
   private abstract static class Change extends OperatorCommand {
     @Parameter(names = "--path", required = true, description = "Node, such as /porting or /")
     private String path;
--- a/cli/src/main/java/io/hingehoist/cli/Table.java
+++ b/cli/src/main/java/io/hingehoist/cli/Table.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Renders a JSON array as a table for people. */
+/** Formats a JSON array of objects as a text table. */
 final class Table {
   private final List<String> columns;
   private final List<List<String>> rows = new ArrayList<>();
@@ -13,7 +13,9 @@
     this.columns = List.copyOf(columns);
   }
 
-  /** Returns a table of some fields of the objects in an array. */
+  /**
+   * Returns a table with one row for each object of an array and one column for each field name.
+   */
   static Table of(JsonNode array, String... columns) {
     Table table = new Table(List.of(columns));
     for (JsonNode object : array) {
--- a/cli/src/main/java/io/hingehoist/cli/ZoneCommands.java
+++ b/cli/src/main/java/io/hingehoist/cli/ZoneCommands.java
@@ -6,7 +6,7 @@
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 
-/** The commands about availability zones. */
+/** The commands for availability zones. */
 final class ZoneCommands {
   private ZoneCommands() {}
 
--- a/cli/src/main/java/io/hingehoist/cli/package-info.java
+++ b/cli/src/main/java/io/hingehoist/cli/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The program {@code hingehoist}, for operators.
+ * The operators' command line program, {@code hingehoist}.
  *
- * <p>Begin with {@link io.hingehoist.cli.Main}. It talks HTTP to any entry; see docs/API.md.
+ * <p>Begin with {@link io.hingehoist.cli.Main}. It sends HTTP requests to any entry; see
+ * docs/API.md.
  */
 package io.hingehoist.cli;
--- a/daemon/src/main/java/io/hingehoist/adapter/Adapter.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/Adapter.java
@@ -6,30 +6,31 @@
 import io.hingehoist.route.RouteTable;
 
 /**
- * Translates between a platform and hingehoist. Found by {@link java.util.ServiceLoader} under the
- * name that {@code node.adapter} gives. Everything it makes is used on one event loop.
+ * Translates between the protocols of a platform and hingehoist. Loaded by {@link
+ * java.util.ServiceLoader} and selected by the name in {@code node.adapter}. All objects that it
+ * returns are confined to one event loop.
  */
 public interface Adapter {
 
-  /** Returns the name that settings call it by. */
+  /** Returns the name by which the settings refer to this adapter. */
   String name();
 
-  /** Returns the routes of a configuration that the control door accepted. */
+  /** Returns the routes of a configuration that the operators' handler has accepted. */
   RouteTable toRoutes(long version, Bytes configuration);
 
-  /** Serves callers. */
+  /** Returns the handler for requests of callers. */
   HttpHandler callerHandler(JobIntake intake);
 
-  /** Serves operators. */
-  HttpHandler operatorHandler(OperatorCommands orders);
+  /** Returns the handler for requests of operators. */
+  HttpHandler operatorHandler(OperatorCommands commands);
 
-  /** Serves workers that make themselves known. */
+  /** Returns the handler for registrations and heartbeats of workers. */
   HttpHandler workerHandler(WorkerRegistry registry);
 
   /**
-   * Makes calls to workers.
+   * Returns a client for calls to workers.
    *
-   * @param ownAddress the address whose IP number the connections come from
+   * @param ownAddress the address whose IP address the outgoing connections are bound to
    */
   WorkerCalls workerCalls(EventLoop loop, String ownAddress);
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/Adapters.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/Adapters.java
@@ -7,7 +7,7 @@
 public final class Adapters {
   private Adapters() {}
 
-  /** Returns the adapter of a name. */
+  /** Returns the adapter with the given name; empty if there is none on the class path. */
   public static Optional<Adapter> find(String name) {
     for (Adapter adapter : ServiceLoader.load(Adapter.class)) {
       if (adapter.name().equals(name)) {
--- a/daemon/src/main/java/io/hingehoist/adapter/IgnoredHeartbeat.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/IgnoredHeartbeat.java
@@ -1,23 +1,23 @@
 package io.hingehoist.adapter;
 
 /**
- * A heartbeat that names no worker to use.
+ * A heartbeat that was ignored because it names no usable worker.
  *
- * @param writer the name under which it came
- * @param problem what is wrong with it
- * @param detail the field, its value and what is allowed
+ * @param writer the worker id under which it was sent
+ * @param problem why it was ignored
+ * @param detail the field, its value and the allowed range
  */
 public record IgnoredHeartbeat(String sender, Problem problem, String detail) {
 
-  /** What may be wrong with a heartbeat. */
+  /** The reasons for which a heartbeat is ignored. */
   public enum Problem {
-    /** The body is not one whole object. */
+    /** The body is not one complete JSON object. */
     UNREADABLE,
-    /** A field is missing, of another type, or out of its range. */
+    /** A field is missing, has the wrong type, or is out of range. */
     BAD_FIELD,
-    /** The state is none of those that are known. */
+    /** The state is not a known one. */
     UNKNOWN_STATE,
-    /** The service is another one than that of the worker on this box. */
+    /** The service differs from the service of the worker on this box. */
     OTHER_SERVICE
   }
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/JobIntake.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/JobIntake.java
@@ -6,40 +6,42 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What an owner offers to those who bring jobs. Used on the event loop. */
+/**
+ * Accepts jobs from callers; implemented by the owner. Not thread-safe: confined to the event loop.
+ */
 public interface JobIntake {
 
-  /** Someone who waits for a job's end. */
+  /** A caller that waits for the end of a job. */
   interface Waiter {
-    /** Takes the end. Called once at most. */
+    /** Receives the end of the job. Called at most once. */
     void onEnd(JobEnd end);
   }
 
-  /** Returns the routes that are in force here; empty before any configuration. */
+  /** Returns the routes in force in this process; empty before the first configuration. */
   Optional<RouteTable> routes();
 
   /**
    * Reads the newest routes from the control replicas.
    *
-   * @param result gets them; empty if no leader could be asked in time
+   * @param result receives the routes; empty if no leader answered in time
    */
   void readNewestRoutes(Consumer<Optional<RouteTable>> result);
 
-  /** Returns whether this box is about to end, too soon for a job. */
+  /** Returns whether this box will stop too soon for a job to complete. */
   boolean stopsTooSoonFor(JobPlan plan);
 
-  /** Takes a job, or joins the one of the same name that is here. */
+  /** Submits a job, or attaches the waiter to a job with the same id that already exists here. */
   void submit(JobPlan plan, Waiter waiter);
 
-  /** Notes that a waiter is gone; a job that nobody waits for is dropped. */
+  /** Removes a waiter whose caller has disconnected. A job without any waiter is dropped. */
   void removeWaiter(String jobId, Waiter waiter);
 
-  /** Ends a job here. Returns whether there was one. */
+  /** Cancels a job. Returns whether this owner had it. */
   boolean cancel(String jobId);
 
-  /** Returns whether a job is here. */
+  /** Returns whether this owner has a job. */
   boolean hasJob(String jobId);
 
-  /** Returns the number of jobs of a queue none of whose tasks was started. */
+  /** Returns the number of jobs in a queue of which no task has been started. */
   long unstartedJobCount(String queue);
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/OperatorCommands.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/OperatorCommands.java
@@ -4,38 +4,44 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What a control replica offers to operators. Used on the event loop. */
+/**
+ * The commands of operators that a control replica accepts. Not thread-safe: confined to the event
+ * loop, on which the results are passed on too.
+ */
 public interface OperatorCommands {
 
-  /** What became of a request to the log. */
+  /** The result of a command. */
   sealed interface Result {
     /**
-     * The order is in the log.
+     * The command is committed to the replicated log.
      *
-     * @param heldVersion the version of the configuration, or of the evacuations, that is held
+     * @param heldVersion the stored version of the configuration or of the evacuated zones
      */
     record Accepted(long heldVersion) implements Result {}
 
-    /** The version is held with another content. */
+    /** The version is already stored with different content. */
     record Conflict(long heldVersion) implements Result {}
 
-    /** The order can't be taken, and has changed nothing. */
+    /** The command was refused and has changed nothing. */
     record Refused(String reason) implements Result {}
 
-    /** The newest version; 0 and nothing if there is none. */
+    /** The newest version and its content; 0 and empty if there is none. */
     record Newest(long version, Bytes content) implements Result {}
 
-    /** Another replica leads; its address for frames is given if it is known. */
+    /**
+     * This replica is not the leader. The address at which the leader accepts frames is given if it
+     * is known.
+     */
     record NotLeader(Optional<String> leaderAddress) implements Result {}
 
-    /** Nothing is known: the request may have been carried out. */
+    /** The outcome is not known: the command may have been applied. */
     record Unknown() implements Result {}
   }
 
-  /** Evacuates an availability zone, so that nothing more is started there. */
+  /** Evacuates an availability zone, so that no new work is started there. */
   void evacuate(String zone, Consumer<Result> result);
 
-  /** Lets an evacuated availability zone be used again. */
+  /** Restores an evacuated availability zone, so that it is used again. */
   void restore(String zone, Consumer<Result> result);
 
   /** Publishes a version of the configuration. */
--- a/daemon/src/main/java/io/hingehoist/adapter/WorkerCalls.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/WorkerCalls.java
@@ -5,22 +5,25 @@
 import io.hingehoist.run.host.StartResult;
 import java.util.function.Consumer;
 
-/** Calls the workers on a box. Used on the event loop; each answer comes once, there. */
+/**
+ * Makes calls to the workers on a box. Not thread-safe: confined to the event loop, on which each
+ * result is passed on exactly once.
+ */
 public interface WorkerCalls {
 
-  /** Orders a run. */
-  void start(HostEffect.StartCall call, Consumer<StartResult> answer);
+  /** Tells a worker to start a run. */
+  void start(HostEffect.StartCall call, Consumer<StartResult> result);
 
   /**
-   * Stops a run.
+   * Tells a worker to stop a run.
    *
-   * @param answer gets whether the worker said that it was carried out
+   * @param result receives whether the worker confirmed the stop
    */
-  void stop(HostEffect.StopCall call, Consumer<Boolean> answer);
+  void stop(HostEffect.StopCall call, Consumer<Boolean> result);
 
-  /** Renews a lease and asks for the runs. */
-  void poll(HostEffect.PollCall call, Consumer<PollResult> answer);
+  /** Renews the lease of a worker and polls the state of its runs. */
+  void poll(HostEffect.PollCall call, Consumer<PollResult> result);
 
-  /** Closes the connections to an address that no worker uses any more. */
+  /** Closes the connections to an address that no worker uses any longer. */
   void closeConnections(String address);
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/WorkerRegistry.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/WorkerRegistry.java
@@ -3,15 +3,21 @@
 import io.hingehoist.run.host.WorkerInfo;
 import java.util.Optional;
 
-/** What a host offers to the workers on its box. Used on the event loop. */
+/**
+ * Receives the registrations of the workers on a box; implemented by the host. Not thread-safe:
+ * confined to the event loop.
+ */
 public interface WorkerRegistry {
 
-  /** Takes a worker's account of itself; returns why it names no worker to use, if it does not. */
+  /** Processes a heartbeat of a worker. Returns why it was ignored, or empty if it was accepted. */
   Optional<IgnoredHeartbeat> workerHeartbeat(WorkerInfo info);
 
-  /** Takes note of a heartbeat that names no worker. It changes nothing else. */
+  /**
+   * Logs and counts a heartbeat that names no usable worker. The state of the registry does not
+   * change.
+   */
   void heartbeatIgnored(IgnoredHeartbeat heartbeat);
 
-  /** Notes that a worker takes its leave. */
+  /** Records that a worker has deregistered. */
   void workerLeaves(String workerId);
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The place of an adapter to a platform: what callers, operators and workers speak there is
- * translated by it, and nothing else knows of it. Begin with {@link io.hingehoist.adapter.Adapter}.
+ * The interfaces of a platform adapter. The adapter translates the protocols that the platform's
+ * callers, operators and workers use, and no other code depends on them. Begin with {@link
+ * io.hingehoist.adapter.Adapter}.
  */
 package io.hingehoist.adapter;
--- a/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
+++ b/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
@@ -44,8 +44,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * An agent: one control thread that owns the {@link TaskLedger}, and traffic threads for entries,
- * the control replicas and the backend server.
+ * An agent: one control thread to which the {@link TaskLedger} is confined, and traffic threads for
+ * connections to entries, the control replicas and the backend server.
  */
 public final class AgentNode implements AutoCloseable {
   private static final Logger LOG = Logger.getLogger(AgentNode.class);
@@ -104,7 +104,7 @@
             MAX_QUEUED_FRAMES);
   }
 
-  /** Starts an agent. It takes work once the control replicas have given it a lease. */
+  /** Starts an agent. It accepts work once the control replicas have granted it a lease. */
   public static AgentNode start(
       NodeSection node,
       AgentSection settings,
@@ -119,7 +119,7 @@
     return agent;
   }
 
-  // The control thread.
+  // Methods called on the control thread.
 
   private void onBatch(List<Runnable> events, long nowMs) {
     checkSleep();
@@ -127,7 +127,10 @@
     onTick(nowMs);
   }
 
-  /** After a sleep only a heartbeat that was sent since brings a lease. */
+  /**
+   * Drops the lease if this box may have been suspended. After that, only a heartbeat sent since
+   * can renew it.
+   */
   private void checkSleep() {
     long sleptMs = sleepDetector.sleptMs();
     if (sleptMs > 0) {
@@ -244,7 +247,7 @@
     }
   }
 
-  // Traffic threads.
+  // Methods called on traffic threads.
 
   private void run(LedgerEffect.Run run) {
     BackendResult answer = backend.run(taskNameOf(run.key()), run.payload(), run.timeoutMs());
@@ -284,7 +287,7 @@
     };
   }
 
-  /** Takes what an entry sends; its first message says who it is. */
+  /** Handles messages from an entry. The first message on a connection must be a {@link Hello}. */
   private final class EntryHandler implements FrameHandler {
     private boolean helloReceived;
 
@@ -321,7 +324,10 @@
     }
   }
 
-  /** Goes once through the ways of a task, for {@code hingehoistd archive}. */
+  /**
+   * Runs the code paths of a task once, so that their classes are loaded for {@code hingehoistd
+   * archive}.
+   */
   public void warmUp() {
     BackendResult answer = backend.run("rehearsal", "", WARM_UP_TIMEOUT_MS);
     LOG.infof("event=rehearsed answer=\"%s\"", answer);
@@ -329,10 +335,10 @@
   }
 
   /**
-   * Stops as planned: takes no new work at once, waits until nothing runs and every job that used
-   * this agent has its outcome, and takes its leave of the control replicas.
+   * Performs a planned stop. It refuses new work at once, waits until nothing runs and every job
+   * that used this agent has its outcome, and deregisters from the control replicas.
    *
-   * @return whether everything was settled in time
+   * @return whether all of this work was settled before the time-out
    */
   public boolean stop() {
     loop.add(
@@ -378,7 +384,7 @@
     try {
       backend.close();
     } catch (IOException e) {
-      LOG.debugf("closing the backend client: %s", e.getMessage());
+      LOG.debugf("failed to close the backend client: %s", e.getMessage());
     }
   }
 }
--- a/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
+++ b/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
@@ -17,11 +17,11 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Sends payloads to the backend server by HTTP POST, each at most once: nothing is ever sent again
- * here. Thread-safe.
+ * Sends payloads to the backend server by HTTP POST. Requests are never retried, so each payload is
+ * sent at most once. Thread-safe.
  */
 final class BackendClient implements AutoCloseable {
-  /** Names the task to the backend server, for its own log. */
+  /** Header with the name of the task, for the log of the backend server. */
   static final String TASK_HEADER = "Hingehoist-Task";
 
   private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -36,7 +36,7 @@
     this.http = http;
   }
 
-  /** Creates a client that keeps within a number of connections. */
+  /** Creates a client that opens at most {@code connections} connections. */
   static BackendClient create(String url, int connections) {
     PoolingHttpClientConnectionManager pool = new PoolingHttpClientConnectionManager();
     pool.setMaxTotal(connections);
@@ -58,7 +58,7 @@
     return new BackendClient(url, http);
   }
 
-  /** Sends a payload and waits for the answer. */
+  /** Sends a payload and waits for the response. */
   BackendResult run(String taskName, String payload, long timeoutMs) {
     HttpPost post = new HttpPost(url);
     post.setHeader(TASK_HEADER, taskName);
@@ -85,7 +85,7 @@
     try {
       body = EntityUtils.toString(response.getEntity(), MAX_RESULT_BYTES);
     } catch (org.apache.hc.core5.http.ParseException e) {
-      throw new IOException("the answer has no readable content type", e);
+      throw new IOException("the response has an invalid content type", e);
     }
     boolean success = response.getCode() / 100 == 2;
     if (success) {
--- a/daemon/src/main/java/io/hingehoist/agent/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/agent/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The agent beside a backend server: its threads, connections and HTTP.
+ * The agent process, which runs beside a backend server: its threads, connections and HTTP client.
  *
- * <p>Begin with {@link io.hingehoist.agent.AgentNode}. The decisions are in {@code
- * io.hingehoist.worker}. An agent has to stay within 32 MB, so nothing here uses Dropwizard,
- * Jersey, Guice or Jackson.
+ * <p>Begin with {@link io.hingehoist.agent.AgentNode}. The task logic is in {@code
+ * io.hingehoist.worker}. An agent must stay within 32 MB of memory, so this package does not use
+ * Dropwizard, Jersey, Guice or Jackson.
  */
 package io.hingehoist.agent;
--- a/daemon/src/main/java/io/hingehoist/client/ControlClient.java
+++ b/daemon/src/main/java/io/hingehoist/client/ControlClient.java
@@ -32,10 +32,11 @@
 import java.util.function.LongFunction;
 
 /**
- * Talks to the leader of the control replicas, whichever it is. Thread-safe.
+ * A client of the control replicas that finds their current leader. Thread-safe.
  *
- * <p>Futures fail with {@link ControlUnavailableException} where an attempt is made once, and never
- * fail where it is repeated. All state is owned by one thread of its own.
+ * <p>Futures of calls that are attempted once, or up to a time-out, fail with {@link
+ * ControlUnavailableException}; those of proposals never fail, because proposals are retried until
+ * they are applied. All state is confined to one internal thread.
  */
 public final class ControlClient implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 500;
@@ -74,9 +75,9 @@
   }
 
   /**
-   * Creates a client of the control replicas at some addresses.
+   * Creates a client of the control replicas at the given addresses.
    *
-   * @param ownAddress the address whose IP number the connections come from
+   * @param ownAddress the address whose IP address the outgoing connections are bound to
    */
   public static ControlClient create(
       List<String> addresses,
@@ -93,7 +94,7 @@
     return client;
   }
 
-  /** Proposes a command again and again until it is known to be applied, and returns the result. */
+  /** Proposes a command, retries until it is known to be applied, and returns the result. */
   public CompletableFuture<CommandResult> propose(Command command) {
     CompletableFuture<CommandResult> result = new CompletableFuture<>();
     attemptProposal(command.toBytes(), result);
@@ -123,8 +124,8 @@
   }
 
   /**
-   * Reads from the leader, whichever it is; asks again when it changes, as a read can be repeated.
-   * Fails if none answers within a time.
+   * Queries the current leader. Retries when the leader changes, because a query can be repeated
+   * safely. Fails if no leader answers within {@code timeoutMs}.
    */
   public CompletableFuture<QueryAnswer> query(Query query, long timeoutMs) {
     CompletableFuture<QueryAnswer> result = new CompletableFuture<>();
@@ -156,11 +157,15 @@
       result.complete(QueryAnswer.fromBytes(bytes));
     } catch (IOException e) {
       result.completeExceptionally(
-          new ControlUnavailableException("the answer can't be read: " + e.getMessage()));
+          new ControlUnavailableException("unreadable query result: " + e.getMessage()));
     }
   }
 
-  /** Sends a heartbeat once. The function gets the number of the request. */
+  /**
+   * Sends a heartbeat once.
+   *
+   * @param request creates the request for a given request id
+   */
   public CompletableFuture<HeartbeatResponse> heartbeat(LongFunction<HeartbeatRequest> request) {
     return attempt(request::apply, ATTEMPT_TIMEOUT_MS)
         .thenApply(
@@ -183,7 +188,8 @@
       LongFunction<Message> request, long timeoutMs, CompletableFuture<Message> reply) {
     long requestId = ++nextRequestId;
     if (!isConnected() && !connect()) {
-      reply.completeExceptionally(new ControlUnavailableException("no replica is reachable"));
+      reply.completeExceptionally(
+          new ControlUnavailableException("failed to connect to a control replica"));
       return;
     }
     pending.put(requestId, new Pending(reply, nowMs() + timeoutMs));
@@ -240,7 +246,7 @@
           completeRequest(r.requestId(), r.status(), r.leaderAddress(), message);
       case HeartbeatResponse r ->
           completeRequest(r.requestId(), r.status(), r.leaderAddress(), message);
-      default -> dropConnection("not an answer: " + message.getClass().getSimpleName());
+      default -> dropConnection("unexpected message: " + message.getClass().getSimpleName());
     }
   }
 
@@ -262,15 +268,15 @@
     } else {
       return;
     }
-    closeConnection("the leader is elsewhere");
+    closeConnection("another replica is the leader");
   }
 
-  /** A connection that does not answer is as good as lost: the replica may be frozen or cut off. */
+  /** Drops the connection if a response is overdue: the replica may be frozen or unreachable. */
   private void checkTimeouts() {
     long now = nowMs();
     boolean timedOut = pending.values().stream().anyMatch(request -> request.expiresAtMs() <= now);
     if (timedOut) {
-      dropConnection("no answer in time");
+      dropConnection("no response in time");
     }
   }
 
@@ -294,7 +300,7 @@
     try {
       executor.execute(action);
     } catch (RejectedExecutionException e) {
-      // The client is closed, and nobody waits any more.
+      // The client is closed, so the action is no longer needed.
     }
   }
 
@@ -302,7 +308,7 @@
     try {
       executor.schedule(action, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     } catch (RejectedExecutionException e) {
-      // The client is closed, and nobody waits any more.
+      // The client is closed, so the action is no longer needed.
     }
   }
 
@@ -310,7 +316,7 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Closes the connection. Repeated proposals end without an answer. */
+  /** Closes the connection. The futures of pending proposals are never completed. */
   @Override
   public void close() {
     executor.shutdownNow();
--- a/daemon/src/main/java/io/hingehoist/client/ControlUnavailableException.java
+++ b/daemon/src/main/java/io/hingehoist/client/ControlUnavailableException.java
@@ -1,6 +1,6 @@
 package io.hingehoist.client;
 
-/** Says that no leader answered in time. What was asked for may or may not have happened. */
+/** Thrown when no leader answered in time. The request may or may not have been applied. */
 public final class ControlUnavailableException extends RuntimeException {
   ControlUnavailableException(String message) {
     super(message);
--- a/daemon/src/main/java/io/hingehoist/client/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/client/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How entries and agents talk to the control replicas: they find the leader, ask again when it
- * changes, and keep a lease.
+ * The client that entries and agents use for the control replicas. It finds the leader, retries
+ * when the leader changes, and sends the heartbeats that renew a lease.
  *
  * <p>Begin with {@link io.hingehoist.client.ControlClient}.
  */
--- a/daemon/src/main/java/io/hingehoist/config/DaemonSettings.java
+++ b/daemon/src/main/java/io/hingehoist/config/DaemonSettings.java
@@ -8,7 +8,7 @@
 import io.hingehoist.settings.OwnerSection;
 import java.util.Optional;
 
-/** The checked settings of one process. A section is present if the process plays its role. */
+/** The validated settings of one process. A section is present if the process has its role. */
 public record DaemonSettings(
     NodeSection node,
     Optional<ControlSection> control,
--- a/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
+++ b/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
@@ -24,7 +24,7 @@
 import org.yaml.snakeyaml.constructor.SafeConstructor;
 import org.yaml.snakeyaml.error.YAMLException;
 
-/** Reads a settings file. Not thread-safe; use {@link #read}. */
+/** Reads and validates a settings file. Not thread-safe; use {@link #read}. */
 public final class SettingsFile {
   private static final int MAX_FILE_CHARACTERS = 256 * 1024;
   private static final int MAX_ALIASES = 10;
@@ -46,7 +46,7 @@
     this.file = file;
   }
 
-  /** Reads and checks a file. Opens no socket and writes nothing. */
+  /** Reads and validates a file. Opens no sockets and writes no files. */
   public static SettingsResult read(Path file) {
     return new SettingsFile(file).read();
   }
@@ -181,7 +181,7 @@
                 field, FieldSpecs.find(SECTIONS.get(section), field).orElseThrow().defaultValue());
   }
 
-  /** Checks what one field alone does not show. */
+  /** Checks the constraints between several fields. */
   private void checkAcrossFields(DaemonSettings settings) {
     NodeSection node = settings.node();
     if (node.roles().contains("agent") && node.roles().size() > 1) {
--- a/daemon/src/main/java/io/hingehoist/config/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings file of a process, checked in full before anything else happens.
+ * The settings file of a process, which is validated in full before anything else happens.
  *
  * <p>Begin with {@link io.hingehoist.config.SettingsFile}. The sections and their ranges are
  * generated from the schema, see {@link io.hingehoist.settings.NodeSection}.
--- a/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
@@ -32,9 +32,9 @@
 import java.util.function.Consumer;
 
 /**
- * A process whose outside is served by an adapter: an owner, a host, or a control replica. It
- * starts no Dropwizard, Jersey or Guice, as the boxes that it is meant for have a fraction of a
- * core.
+ * A process that serves its callers, workers or operators through an adapter: an owner, a host, or
+ * a control replica. It does not start Dropwizard, Jersey or Guice, because it is meant for boxes
+ * with a fraction of a core.
  */
 final class AdapterProcess {
   private static final int MAX_OPERATOR_BODY_BYTES = 8 * 1024 * 1024;
--- a/daemon/src/main/java/io/hingehoist/daemon/AgentProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AgentProcess.java
@@ -10,7 +10,10 @@
 import java.net.InetAddress;
 import java.util.concurrent.ThreadFactory;
 
-/** A process with the agent role: no Dropwizard, few threads, small stacks. */
+/**
+ * A process with the agent role. To save memory it uses no Dropwizard, few threads and small
+ * stacks.
+ */
 final class AgentProcess {
   private static final long STACK_BYTES = 192 * 1024;
 
@@ -26,7 +29,7 @@
     Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(agent), "stop"));
   }
 
-  /** Runs an agent for a moment, so that its classes are loaded. */
+  /** Runs an agent briefly, so that its classes are loaded. */
   static void warmUp(DaemonSettings settings) throws IOException {
     LogSetup.configure(settings.node());
     Metrics metrics = Metrics.create();
--- a/daemon/src/main/java/io/hingehoist/daemon/ExitCode.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/ExitCode.java
@@ -1,21 +1,21 @@
 package io.hingehoist.daemon;
 
-/** The exit codes of {@code hingehoistd}, after those of {@code sysexits.h}. */
+/** The exit codes of {@code hingehoistd}, based on {@code sysexits.h}. */
 enum ExitCode {
   OK(0),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(64),
   /** The data folder is damaged. */
   DAMAGED_DATA(65),
-  /** A broken invariant stopped the process. */
+  /** The process stopped because an invariant was violated. */
   BROKEN_INVARIANT(70),
-  /** An address or the data folder can't be opened. */
+  /** An address or the data folder cannot be opened. */
   CANNOT_OPEN(73),
   /** Writing or syncing the journal failed. */
   DISK_FAILED(74),
-  /** A planned stop could not settle everything in time. */
+  /** A planned stop timed out before all work was settled. */
   UNSETTLED_STOP(75),
-  /** The settings file is wrong. */
+  /** The settings file is invalid. */
   BAD_SETTINGS(78);
 
   private final int code;
--- a/daemon/src/main/java/io/hingehoist/daemon/HangupSignal.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/HangupSignal.java
@@ -2,13 +2,13 @@
 
 import java.lang.reflect.Proxy;
 
-/** Static helpers for SIGHUP, on which the virtual machine would end without a handler. */
+/** Static helpers that handle SIGHUP, which ends the JVM if there is no handler. */
 final class HangupSignal {
   private HangupSignal() {}
 
   /**
-   * Runs an action on each SIGHUP, on a thread of the virtual machine. The classes for it are
-   * supported but not standard, so that the compiler warns of each direct use; hence by reflection.
+   * Runs an action on each SIGHUP, on a thread of the JVM. The signal classes are supported but not
+   * standard, and the compiler warns about each direct use, so they are called by reflection.
    */
   static void handle(Runnable action) {
     try {
@@ -27,7 +27,7 @@
       Object hangup = signal.getConstructor(String.class).newInstance("HUP");
       signal.getMethod("handle", signal, handler).invoke(null, hangup, proxy);
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("this virtual machine has no handlers of signals", e);
+      throw new IllegalStateException("this JVM does not support signal handlers", e);
     }
   }
 }
--- a/daemon/src/main/java/io/hingehoist/daemon/LineFormatter.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/LineFormatter.java
@@ -7,8 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Writes one line a record, as text or as JSON. Messages are pairs of key and value, such as {@code
- * event=leaseLost agent=w1}; as JSON each pair is a field.
+ * Formats each log record as one line of text or JSON. Messages are key-value pairs, such as {@code
+ * event=leaseLost agent=w1}; in JSON each pair becomes a field.
  */
 final class LineFormatter extends Formatter {
   private static final Pattern PAIR = Pattern.compile("(\\w+)=(\"[^\"]*\"|\\S*)");
--- a/daemon/src/main/java/io/hingehoist/daemon/LogSetup.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/LogSetup.java
@@ -7,15 +7,19 @@
 import java.util.logging.StreamHandler;
 
 /**
- * Static helpers that set up JBoss Logging on the logging of the JDK, which costs an agent least.
+ * Static helpers that configure JBoss Logging to use {@code java.util.logging}, the backend with
+ * the smallest cost in an agent.
  */
 final class LogSetup {
-  /** The log manager holds loggers weakly: one that nobody else holds would lose its level. */
+  /**
+   * Keeps the logger reachable. The log manager holds loggers by weak references, so a collected
+   * logger would lose its level.
+   */
   private static Logger ownLogger;
 
   private LogSetup() {}
 
-  /** Chooses the backend; must come before the first logger. */
+  /** Selects the logging backend. Must be called before the first logger is created. */
   static void chooseBackend() {
     System.setProperty("org.jboss.logging.provider", "jdk");
     System.setProperty("java.util.logging.manager", NonClosingLogManager.class.getName());
--- a/daemon/src/main/java/io/hingehoist/daemon/Main.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/Main.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.UUID;
 
-/** Starts {@code hingehoistd}. */
+/** The entry point of {@code hingehoistd}. */
 public final class Main {
   private static final String USAGE =
       """
@@ -143,7 +143,10 @@
     }
   }
 
-  /** Stops the process at once: after this error, going on could break a promise. */
+  /**
+   * Halts the process at once, because continuing after this error could violate a durability
+   * guarantee or an invariant.
+   */
   static void halt(Throwable error) {
     ExitCode code = error instanceof IOException ? ExitCode.DISK_FAILED : ExitCode.BROKEN_INVARIANT;
     System.err.println("event=halted code=" + code.code() + " error=\"" + error + "\"");
--- a/daemon/src/main/java/io/hingehoist/daemon/ServerProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/ServerProcess.java
@@ -58,7 +58,10 @@
             settings.node().nodeId(), String.join(",", settings.node().roles()));
   }
 
-  /** The entry goes first, while its own replica can still commit the last outcomes. */
+  /**
+   * Stops the entry first, while the control replica in this process can still commit the last
+   * outcomes.
+   */
   private void stop() {
     boolean clean = entry.map(EntryNode::stop).orElse(true);
     application.ifPresent(ServerProcess::stopQuietly);
--- a/daemon/src/main/java/io/hingehoist/daemon/SettingsFileWatcher.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/SettingsFileWatcher.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the settings file again when it changes, with or without a SIGHUP. A file that can't be
- * used changes nothing. Owned by the event loop.
+ * Reloads the settings file when its content changes or a SIGHUP arrives. An invalid file is logged
+ * and otherwise ignored. Not thread-safe: confined to the event loop.
  */
 final class SettingsFileWatcher {
   private static final long CHECK_PERIOD_MS = 500;
--- a/daemon/src/main/java/io/hingehoist/daemon/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program {@code hingehoistd}.
+ * The program {@code hingehoistd}: starts and stops the processes.
  *
  * <p>Begin with {@link io.hingehoist.daemon.Main}.
  */
--- a/daemon/src/main/java/io/hingehoist/entry/AgentLinks.java
+++ b/daemon/src/main/java/io/hingehoist/entry/AgentLinks.java
@@ -24,11 +24,13 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.ThreadFactory;
 
-/** The connections of an entry to the agents. Owned by the dispatch thread. */
+/**
+ * The connections from an entry to the agents. Not thread-safe: confined to the dispatch thread.
+ */
 final class AgentLinks {
   private static final int MAX_QUEUED_FRAMES = 16_384;
 
-  /** Takes what agents say, on the dispatch thread. */
+  /** Receives events from agents, on the dispatch thread. */
   interface Listener {
     void onStatus(AgentStatus status, boolean isNewConnection);
 
@@ -69,7 +71,10 @@
     this.threads = threads;
   }
 
-  /** Opens links to new agents, and closes those to agents that are gone or have moved. */
+  /**
+   * Opens links to new agents, and closes links to agents that were removed or have changed their
+   * address.
+   */
   void updateAgents(List<AgentInfo> agents) {
     Set<String> currentAgentIds = new HashSet<>();
     for (AgentInfo agent : agents) {
--- a/daemon/src/main/java/io/hingehoist/entry/Answer.java
+++ b/daemon/src/main/java/io/hingehoist/entry/Answer.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** What a caller hears of a job or request. */
+/** The answer to a caller about a job or request. */
 public sealed interface Answer {
 
-  /** Everything ran, and these are all results in the order of the tasks. */
+  /** Every task ran; the results are in the order of the tasks. */
   record Complete(List<String> results) implements Answer {
     /** Copies the results. */
     public Complete {
@@ -13,18 +13,18 @@
     }
   }
 
-  /** The job ended without a whole answer. Some of it may have run. */
+  /** The job ended without all of its results. Some of its tasks may have run. */
   record Failed(String reason) implements Answer {}
 
-  /** Nothing of it ran or will run. */
+  /** No task ran or will run. */
   record Refused(String cause, String reason, long retryAfterMs) implements Answer {}
 
-  /** The job runs, and this many of its tasks are finished; -1 where another entry knows. */
+  /** The job is running. {@code finishedTasks} is -1 if only another entry knows the number. */
   record Running(int finishedTasks, int taskCount) implements Answer {}
 
-  /** Nothing is known: the caller may submit the same again, under the same id, or ask later. */
+  /** The outcome is not known. The caller may resubmit under the same id, or query again later. */
   record Unknown(String reason, long retryAfterMs) implements Answer {}
 
-  /** There is no such submission within the retention. */
+  /** No such submission exists within the retention period. */
   record NotFound() implements Answer {}
 }
--- a/daemon/src/main/java/io/hingehoist/entry/AnswerBody.java
+++ b/daemon/src/main/java/io/hingehoist/entry/AnswerBody.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonInclude;
 import java.util.List;
 
-/** The JSON body of an answer. What does not apply to its outcome is left out. */
+/** The JSON body of an answer. Fields that do not apply to the outcome are omitted. */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 record AnswerBody(
     String outcome,
--- a/daemon/src/main/java/io/hingehoist/entry/Answers.java
+++ b/daemon/src/main/java/io/hingehoist/entry/Answers.java
@@ -8,19 +8,18 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.Executors;
 
-/** Static helpers that turn an {@link Answer} into an HTTP response. */
+/** Static helpers that convert an {@link Answer} into an HTTP response. */
 final class Answers {
   private static final int TOO_MANY_REQUESTS = 429;
   private static final Executor WRITERS = Executors.newVirtualThreadPerTaskExecutor();
 
   private Answers() {}
 
-  /** Sends the answer once it is there, and counts it. */
+  /** Sends the answer as soon as it is available, and records it in the metrics. */
   static void send(
       CompletableFuture<Answer> answer, AsyncResponse response, String kind, Metrics metrics) {
     long startNanos = System.nanoTime();
-    // The thread that completes an answer owns the state of the entry: it must not write to
-    // sockets.
+    // Answers may be completed on the dispatch thread, which must not block on socket writes.
     answer.whenCompleteAsync(
         (value, failure) -> {
           if (failure != null) {
@@ -58,7 +57,7 @@
   private static Response toResponse(Answer answer, AnswerBody body) {
     Response.ResponseBuilder response = Response.status(statusOf(answer)).entity(body);
     if (body.retryAfterMs() != null) {
-      // The header counts whole seconds; the body says it in milliseconds.
+      // The header is in whole seconds, rounded up; the body is in milliseconds.
       long seconds = (body.retryAfterMs() + 999) / 1_000;
       response.header(HttpHeaders.RETRY_AFTER, seconds);
     }
--- a/daemon/src/main/java/io/hingehoist/entry/BodyLimitFilter.java
+++ b/daemon/src/main/java/io/hingehoist/entry/BodyLimitFilter.java
@@ -11,9 +11,9 @@
 import java.io.InputStream;
 
 /**
- * Refuses bodies that are too large, whether or not they say so. What is refused is read to its end
- * first: a caller that is still sending when the connection closes does not see the answer.
- * Thread-safe.
+ * Refuses request bodies above a size limit, with or without a {@code Content-Length} header. The
+ * rest of a refused body is read first: a caller that is still sending when the connection closes
+ * would not receive the response. Thread-safe.
  */
 @PreMatching
 final class BodyLimitFilter implements ContainerRequestFilter {
@@ -38,7 +38,7 @@
     long remainingBytes = MAX_DRAINED_BYTES;
     while (remainingBytes > 0) {
       long skipped = body.skip(remainingBytes);
-      // A stream may skip nothing before its end; a read tells.
+      // skip() may return 0 before the end of the stream; only read() detects the end.
       if (skipped == 0 && body.read() < 0) {
         return;
       }
--- a/daemon/src/main/java/io/hingehoist/entry/ControlSession.java
+++ b/daemon/src/main/java/io/hingehoist/entry/ControlSession.java
@@ -18,14 +18,14 @@
 import org.jboss.logging.Logger;
 
 /**
- * An entry's standing with the control replicas: its incarnation, its lease, and the settings and
- * members as of that lease. Owned by the dispatch thread.
+ * The session of an entry with the control replicas: its incarnation, its lease, and the settings
+ * and members as of that lease. Not thread-safe: confined to the dispatch thread.
  */
 final class ControlSession {
   private static final Logger LOG = Logger.getLogger(ControlSession.class);
   private static final long HEARTBEAT_MS = 250;
 
-  /** Takes what the control replicas say, on the dispatch thread. */
+  /** Receives updates from the control replicas, on the dispatch thread. */
   interface Listener {
     void onSettings(SettingsTree tree);
 
@@ -80,7 +80,7 @@
     return settings;
   }
 
-  /** Sends a heartbeat when one is due. */
+  /** Sends a heartbeat if one is due. */
   void onTick(long nowMs) {
     if (ended || heartbeatPending || nowMs - lastSentAtMs < HEARTBEAT_MS) {
       return;
@@ -89,7 +89,8 @@
     lastSentAtMs = nowMs;
     long sentIncarnation = incarnation;
     long sleepCountAtSend = sleepCount;
-    // Without settings yet, a revision that nobody has makes the leader send the whole tree.
+    // As long as no settings are held, a revision that never exists makes the leader send the whole
+    // tree.
     long revision = hasSettings ? settings.revision() : -1;
     List<Long> owned = ownedJobIds.get();
     control
@@ -115,13 +116,16 @@
                     }));
   }
 
-  /** Lets only a heartbeat that is sent from now on bring a lease: this box may have slept. */
+  /**
+   * Records that this box may have been suspended: responses to earlier heartbeats no longer renew
+   * the lease.
+   */
   void recordSleep() {
     sleepCount++;
     lastSentAtMs = 0;
   }
 
-  /** Takes no new incarnation once this one is given up: the process is about to stop. */
+  /** Ends the session before a planned stop, so that no new incarnation is registered. */
   void end() {
     ended = true;
   }
--- a/daemon/src/main/java/io/hingehoist/entry/EntryApplication.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryApplication.java
@@ -26,8 +26,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The HTTP side of an entry, on Dropwizard. Its configuration comes from the settings file that was
- * checked before, not from a file of its own.
+ * The Dropwizard application that serves the HTTP API of an entry. Its configuration is derived
+ * from the validated settings file, not from a file of its own.
  */
 public final class EntryApplication extends Application<Configuration> {
   private static final int MAX_THREADS = 256;
@@ -41,7 +41,7 @@
     this.metrics = metrics;
   }
 
-  /** Starts to serve. Returns once connections are taken. */
+  /** Starts the HTTP server, and returns once it accepts connections. */
   public static EntryApplication start(EntryNode entry, Metrics metrics) throws Exception {
     EntryApplication application = new EntryApplication(entry, metrics);
     application.run("server");
@@ -53,13 +53,16 @@
     return "hingehoistd";
   }
 
-  /** Dropwizard's own lines go through Logback; the process's lines are set up before it. */
+  /**
+   * Sets the level of Dropwizard's own log, which goes through Logback. The log of the process is
+   * configured before.
+   */
   @Override
   protected void bootstrapLogging() {
     ((Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME)).setLevel(Level.WARN);
   }
 
-  /** Leaves logging as the process has set it up. */
+  /** A logging factory that leaves the logging configuration of the process unchanged. */
   private static final class NoOpLoggingFactory implements LoggingFactory {
     @Override
     public void configure(MetricRegistry metricRegistry, String name) {}
@@ -71,7 +74,10 @@
     public void reset() {}
   }
 
-  /** Tells Dropwizard's own page what {@code /health/ready} tells the balancer. */
+  /**
+   * Reports on Dropwizard's admin page the same state as {@code /health/ready} reports to the load
+   * balancer.
+   */
   private final class LeaseHealthCheck extends HealthCheck {
     @Override
     protected Result check() {
@@ -134,13 +140,13 @@
     environment.lifecycle().addServerLifecycleListener(this::onStarted);
   }
 
-  /** The planned stop decides when the server stops, not the end of the process. */
+  /** Disables Jetty's own shutdown hook: the planned stop decides when the server stops. */
   private void onStarted(Server started) {
     started.setStopAtShutdown(false);
     server.complete(started);
   }
 
-  /** Stops to serve, after the answers that are being written. */
+  /** Stops the HTTP server once the responses in progress are written. */
   public void stop() throws Exception {
     server.join().stop();
   }
--- a/daemon/src/main/java/io/hingehoist/entry/EntryModule.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryModule.java
@@ -3,7 +3,7 @@
 import com.google.inject.AbstractModule;
 import io.hingehoist.metrics.Metrics;
 
-/** Wires the resources of an entry. */
+/** Binds the HTTP resources of an entry and their dependencies. */
 final class EntryModule extends AbstractModule {
   private final EntryNode entry;
   private final Metrics metrics;
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -38,8 +38,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * An entry: one dispatch thread that owns all of its state, and traffic threads around it. The
- * public methods are thread-safe; their futures complete on any thread.
+ * An entry: one dispatch thread to which all state is confined, and traffic threads for its
+ * connections. Thread-safe: the returned futures may complete on any thread.
  */
 public final class EntryNode implements AutoCloseable {
   private static final Logger LOG = Logger.getLogger(EntryNode.class);
@@ -48,7 +48,10 @@
   private static final long REPORT_TIMEOUT_MS = 3_000;
   private static final long SETTLE_POLL_MS = 20;
 
-  /** How long the health check fails before new work is refused: the balancer has to notice. */
+  /**
+   * How long the health check fails before new work is refused, so that the load balancer can stop
+   * sending callers first.
+   */
   private static final long LOAD_BALANCER_GRACE_MS = 1_000;
 
   private final NodeSection node;
@@ -106,7 +109,7 @@
     addGauges();
   }
 
-  /** Starts an entry. It takes work once it has a lease. */
+  /** Starts an entry. It accepts work once it holds a lease. */
   public static EntryNode start(
       NodeSection node,
       EntrySection settings,
@@ -133,7 +136,7 @@
         () -> settingsView.revision());
   }
 
-  // The dispatch thread.
+  // Methods called on the dispatch thread.
 
   private void onBatch(List<Runnable> events, long nowMs) {
     checkSleep();
@@ -141,7 +144,10 @@
     onTick(nowMs);
   }
 
-  /** After a sleep only a heartbeat that was sent since brings a lease. */
+  /**
+   * Drops the lease if this box may have been suspended. After that, only a heartbeat sent since
+   * can renew it.
+   */
   private void checkSleep() {
     long sleptMs = sleepDetector.sleptMs();
     if (sleptMs > 0) {
@@ -231,14 +237,14 @@
     }
   }
 
-  // For the HTTP threads.
+  // Methods called on HTTP threads.
 
-  /** Returns whether the balancer should send callers here. */
+  /** Returns whether the load balancer should send callers to this entry. */
   public boolean isReady() {
     return ready;
   }
 
-  /** Returns the revision of the settings in force here. */
+  /** Returns the revision of the settings in force in this process. */
   public long settingsRevision() {
     return settingsView.revision();
   }
@@ -248,7 +254,7 @@
     return settings;
   }
 
-  /** Returns the policy in force here for a service and job class. */
+  /** Returns the policy in force for a service and job class in the zone of this entry. */
   public ServicePolicy policyFor(String service, String jobClass) {
     return settingsView.policyAt(SettingsPath.of(service, jobClass, node.zone()));
   }
@@ -256,7 +262,7 @@
   /**
    * Submits a job.
    *
-   * @param wait whether to wait for the final answer, or only for the admission
+   * @param wait true to wait for the final answer, false to wait for the admission only
    */
   public CompletableFuture<Answer> submitJob(JobSubmission submission, boolean wait) {
     CompletableFuture<Answer> answer = new CompletableFuture<>();
@@ -299,28 +305,28 @@
     carryOut(dispatcher.onRequest(spec, now));
   }
 
-  /** Returns what is known of a submission, after waiting up to a time for its end. */
+  /** Returns the state of a submission, after waiting up to {@code waitMs} for its outcome. */
   public CompletableFuture<Answer> findJob(String caller, String submissionId, long waitMs) {
     return jobs.find(caller, submissionId, waitMs);
   }
 
-  /** Returns a report of the control replicas, as JSON. */
+  /** Returns a report of the control replicas as JSON. */
   public CompletableFuture<String> report(String report, String argument) {
     return control
         .query(new GetReport(report, argument), REPORT_TIMEOUT_MS)
         .thenApply(answer -> ((Report) answer).json());
   }
 
-  /** Proposes an operator's command until it is known to be applied. */
+  /** Proposes an operator's command, and retries until it is known to be applied. */
   public CompletableFuture<CommandResult> propose(Command command) {
     return control.propose(command);
   }
 
   /**
-   * Stops as planned: fails the health check, then refuses new work, then waits until every caller
-   * has an answer, and leaves what remains to other entries.
+   * Performs a planned stop. It fails the health check, then refuses new work, then waits until
+   * every caller has an answer, and hands the remaining jobs over to other entries.
    *
-   * @return whether everything was settled in time
+   * @return whether every caller had an answer before the time-out
    */
   public boolean stop() {
     stopRequested = true;
@@ -329,7 +335,8 @@
     pauseMs(LOAD_BALANCER_GRACE_MS);
     refusingNewWork = true;
     long giveUpAtMs = nowMs() + settings.stopTimeoutMs();
-    // One whole turn of the dispatch thread must have seen the refusal before "settled" counts.
+    // "settled" is valid only after the dispatch thread has run a full iteration with
+    // refusingNewWork set.
     pauseMs(4 * POLL_MS);
     while (!settled && nowMs() < giveUpAtMs) {
       pauseMs(SETTLE_POLL_MS);
@@ -340,7 +347,10 @@
     return clean;
   }
 
-  /** Nothing may start under this incarnation once the log says that it has ended. */
+  /**
+   * Ends the incarnation of this entry. All jobs are abandoned first, because nothing may start
+   * under an incarnation once the replicated log records its end.
+   */
   private void endIncarnation() {
     CompletableFuture<Void> jobsAbandoned = new CompletableFuture<>();
     loop.add(
--- a/daemon/src/main/java/io/hingehoist/entry/ErrorMappers.java
+++ b/daemon/src/main/java/io/hingehoist/entry/ErrorMappers.java
@@ -8,7 +8,7 @@
 import jakarta.ws.rs.ext.ExceptionMapper;
 import java.util.stream.Collectors;
 
-/** Turns errors of a request's body into answers that name the field. Thread-safe. */
+/** Maps errors in a request body to responses that name the field. Thread-safe. */
 final class ErrorMappers {
   private ErrorMappers() {}
 
@@ -19,7 +19,7 @@
         .build();
   }
 
-  /** Answers a field that is not allowed. */
+  /** Maps a field with an invalid value to a response. */
   static final class InvalidField implements ExceptionMapper<InvalidFieldException> {
     @Override
     public Response toResponse(InvalidFieldException e) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Answers a body that is not the JSON that is expected. */
+  /** Maps a body that is not the expected JSON to a response. */
   static final class BadJson implements ExceptionMapper<JsonProcessingException> {
     @Override
     public Response toResponse(JsonProcessingException e) {
--- a/daemon/src/main/java/io/hingehoist/entry/HealthResource.java
+++ b/daemon/src/main/java/io/hingehoist/entry/HealthResource.java
@@ -7,7 +7,7 @@
 import jakarta.ws.rs.core.MediaType;
 import jakarta.ws.rs.core.Response;
 
-/** Serves the platform's balancer. Thread-safe. */
+/** Serves the health checks of the load balancer. Thread-safe. */
 @Path("/health")
 @Produces(MediaType.TEXT_PLAIN)
 public final class HealthResource {
@@ -18,14 +18,17 @@
     this.entry = entry;
   }
 
-  /** Says that the process runs. */
+  /** Returns a fixed text, which shows that the process is running. */
   @GET
   @Path("/live")
   public String live() {
     return "live\n";
   }
 
-  /** Says whether callers should be sent here, and which settings are in force if so. */
+  /**
+   * Returns whether the load balancer should send callers to this entry, with the revision of the
+   * settings in force if so.
+   */
   @GET
   @Path("/ready")
   public Response ready() {
--- a/daemon/src/main/java/io/hingehoist/entry/JobBody.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobBody.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The JSON body of a job's submission, unchecked: anything may be missing. */
+/** The JSON body of a job submission, before validation: any field may be missing. */
 record JobBody(
     String caller,
     String submissionId,
@@ -13,6 +13,6 @@
     Long deadlineAtMs,
     List<TaskBody> tasks) {
 
-  /** One task. */
+  /** The JSON body of one task. */
   record TaskBody(String payload) {}
 }
--- a/daemon/src/main/java/io/hingehoist/entry/JobManager.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobManager.java
@@ -34,11 +34,11 @@
 import java.util.function.Consumer;
 
 /**
- * Takes submissions of jobs from refusal or admission to their final answer. Owned by the dispatch
- * thread; the futures that it returns complete on any thread.
+ * Handles job submissions from refusal or admission to the final answer. Not thread-safe: confined
+ * to the dispatch thread. The returned futures may complete on any thread.
  */
 final class JobManager {
-  /** How long after its deadline the answer of a job may take to be committed. */
+  /** Time allowed after a job's deadline for its outcome to be committed. */
   private static final long ANSWER_GRACE_MS = 2_000;
 
   private static final long FIND_WAIT_MS = 5_000;
@@ -74,9 +74,10 @@
   }
 
   /**
-   * Takes a submission.
+   * Submits a job, or returns the existing one if this entry is already handling the same
+   * submission.
    *
-   * @param refuseAll whether new work is refused, as before a planned stop
+   * @param refuseAll whether new work is refused, as it is before a planned stop
    */
   LocalJob submit(JobSubmission submission, boolean refuseAll, long nowMs) {
     Key key = new Key(submission.caller(), submission.submissionId());
@@ -103,7 +104,7 @@
 
   private static void scheduleTimeout(LocalJob job) {
     long leftMs = job.submission().deadlineAtMs() - System.currentTimeMillis() + ANSWER_GRACE_MS;
-    Answer unknown = new Answer.Unknown("no outcome is known in time", RETRY_AFTER_MS);
+    Answer unknown = new Answer.Unknown("no outcome was known in time", RETRY_AFTER_MS);
     job.admitted().completeOnTimeout(unknown, Math.max(1, leftMs), TimeUnit.MILLISECONDS);
     job.ended().completeOnTimeout(unknown, Math.max(1, leftMs), TimeUnit.MILLISECONDS);
   }
@@ -121,7 +122,10 @@
     return nowMs + wallMs - System.currentTimeMillis();
   }
 
-  /** A resubmission must not hear "not run" of a job that was admitted before. */
+  /**
+   * Refuses a submission unless its job is already known. A resubmission must not be told "not run"
+   * about a job that was admitted before.
+   */
   private void refuseUnlessKnown(LocalJob job, RequestOutcome.Refused refusal) {
     JobSubmission submission = job.submission();
     control
@@ -167,7 +171,7 @@
   }
 
   private void onAdmission(LocalJob job, CommandResult result, long admittingIncarnation) {
-    // A job admitted under an incarnation that has ended since belongs to another owner.
+    // A job admitted under an incarnation that has since ended belongs to another owner.
     boolean owned = admittingIncarnation == incarnation.getAsLong();
     switch (result) {
       case Admitted admitted when owned -> start(job, admitted);
@@ -180,13 +184,14 @@
       case AdmissionRefused refused when refused.reason() == RefusalReason.ENTRY_NOT_LIVE ->
           retryAdmission(job);
       case AdmissionRefused refused -> job.end(Refusals.toAnswer(refused));
-      default -> throw new IllegalStateException("not an answer to an admission: " + result);
+      default -> throw new IllegalStateException("unexpected result of an admission: " + result);
     }
   }
 
   /**
-   * The incarnation ended while the admission was on its way, as after a freeze: nothing was
-   * admitted, and this entry is about to register anew. The caller's deadline bounds the tries.
+   * Retries an admission whose incarnation ended while the command was in flight, for example after
+   * the process was frozen. Nothing was admitted, and this entry is about to register again. The
+   * caller's deadline bounds the number of retries.
    */
   private void retryAdmission(LocalJob job) {
     CompletableFuture.delayedExecutor(
@@ -217,7 +222,7 @@
     effects.accept(dispatcher.onAdmitted(spec, now));
   }
 
-  /** Takes over a job whose owner has ended. */
+  /** Adopts a job whose owner has ended. */
   void adopt(OwnedJob owned) {
     if (!adopting.add(owned.jobId())) {
       return;
@@ -254,7 +259,7 @@
     effects.accept(dispatcher.onAdopted(spec, record.lostAgents(), now));
   }
 
-  /** Commits an outcome, and answers the callers once it is committed. */
+  /** Proposes an outcome, and answers the callers once it is committed. */
   void commit(DispatchEffect.CommitOutcome commit) {
     control
         .propose(new CompleteJob(commit.jobId(), commit.epoch(), commit.outcome()))
@@ -276,14 +281,14 @@
     }
   }
 
-  /** Leaves every job to its next owner; the callers here go on waiting for the outcome. */
+  /** Hands every job over to its next owner; callers of this entry keep waiting for the outcome. */
   void onIncarnationEnded() {
     List<LocalJob> left = List.copyOf(byJobId.values());
     byJobId.clear();
     left.forEach(this::awaitRemoteOutcome);
   }
 
-  /** Waits for an outcome that another entry commits. */
+  /** Polls for an outcome that another entry commits. */
   private void awaitRemoteOutcome(LocalJob job) {
     if (job.ended().isDone()) {
       return;
@@ -306,7 +311,7 @@
             });
   }
 
-  /** Returns what is known of a submission, after waiting up to a time for its end. */
+  /** Returns the state of a submission, after waiting up to {@code waitMs} for its outcome. */
   CompletableFuture<Answer> find(String caller, String submissionId, long waitMs) {
     return control
         .query(new FindJob(caller, submissionId, waitMs), waitMs + QUERY_MARGIN_MS)
@@ -331,7 +336,7 @@
         : new Answer.Failed(outcome.reason());
   }
 
-  /** Returns whether every submission taken here has its final answer. */
+  /** Returns whether every submission accepted by this entry has its final answer. */
   boolean isSettled() {
     return byKey.isEmpty() && byJobId.isEmpty();
   }
--- a/daemon/src/main/java/io/hingehoist/entry/JobResource.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobResource.java
@@ -14,7 +14,7 @@
 import jakarta.ws.rs.container.Suspended;
 import jakarta.ws.rs.core.MediaType;
 
-/** Serves callers: jobs and single requests. See docs/API.md. Thread-safe. */
+/** Serves the callers' API for jobs and single requests. See docs/API.md. Thread-safe. */
 @Path("/v1")
 @Produces(MediaType.APPLICATION_JSON)
 @Consumes(MediaType.APPLICATION_JSON)
@@ -36,7 +36,9 @@
     return entry.policyFor(service, jobClass).defaultDeadlineMs();
   }
 
-  /** Submits a job and answers when it has ended, or when it is admitted. */
+  /**
+   * Submits a job, and answers once it has ended, or once it is admitted if {@code wait} is false.
+   */
   @POST
   @Path("/jobs")
   public void submitJob(
@@ -50,7 +52,7 @@
         limit.runIfBelowLimit(() -> entry.submitJob(submission, wait)), response, "job", metrics);
   }
 
-  /** Returns what is known of a submission. */
+  /** Returns the state of a submission. */
   @GET
   @Path("/jobs/{caller}/{submissionId}")
   public void findJob(
--- a/daemon/src/main/java/io/hingehoist/entry/JobSubmission.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobSubmission.java
@@ -8,11 +8,12 @@
 import java.util.List;
 
 /**
- * A checked submission of a job.
+ * A validated submission of a job.
  *
- * @param submittedAtMs when the caller first submitted it, in milliseconds since 1970; the same in
- *     every resubmission
- * @param deadlineAtMs when it is given up; not part of what a resubmission must repeat
+ * @param submittedAtMs when the caller first submitted the job, in milliseconds since 1970; the
+ *     same in every resubmission
+ * @param deadlineAtMs when the job is given up, in milliseconds since 1970; a resubmission may
+ *     change it
  */
 public record JobSubmission(
     String caller,
@@ -29,7 +30,7 @@
     payloads = List.copyOf(payloads);
   }
 
-  /** Returns a digest of all that a resubmission must repeat. */
+  /** Returns a digest of the fields that must be the same in every resubmission. */
   Bytes digest() {
     MessageDigest sha = sha256();
     update(sha, service);
@@ -40,7 +41,10 @@
     return Bytes.copyOf(sha.digest());
   }
 
-  /** The length goes first, so that no two lists of texts are the same bytes. */
+  /**
+   * Adds a text to the digest, prefixed by its length, so that different lists of texts never give
+   * the same bytes.
+   */
   private static void update(MessageDigest sha, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     sha.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, bytes.length));
--- a/daemon/src/main/java/io/hingehoist/entry/LocalJob.java
+++ b/daemon/src/main/java/io/hingehoist/entry/LocalJob.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A submission that this entry is handling, for all of its callers here.
+ * A submission that this entry is handling, shared by all callers of this entry that submitted it.
  *
- * @param admitted completes once it is known whether the job was admitted; the answer is {@link
- *     Answer.Running} if it was, and the final one if that is known already
+ * @param admitted completes once it is known whether the job was admitted, with {@link
+ *     Answer.Running} if it was, or with the final answer if that is already known
  * @param ended completes with the final answer
  */
 record LocalJob(
@@ -16,7 +16,7 @@
     return new LocalJob(submission, new CompletableFuture<>(), new CompletableFuture<>());
   }
 
-  /** Gives every caller the final answer. */
+  /** Completes both futures with the final answer. */
   void end(Answer answer) {
     admitted.complete(answer);
     ended.complete(answer);
--- a/daemon/src/main/java/io/hingehoist/entry/OperatorResource.java
+++ b/daemon/src/main/java/io/hingehoist/entry/OperatorResource.java
@@ -28,7 +28,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Serves operators. See docs/API.md. Thread-safe. */
+/** Serves the operators' API. See docs/API.md. Thread-safe. */
 @Path("/v1")
 @Produces(MediaType.APPLICATION_JSON)
 @Consumes(MediaType.APPLICATION_JSON)
@@ -38,14 +38,17 @@
   private static final int UNPROCESSABLE = 422;
   private static final long CHANGE_TIMEOUT_MS = 10_000;
 
-  /** The JSON body of a change of settings, unchecked. Without a value the node inherits again. */
+  /**
+   * The JSON body of a settings change, before validation. Without a value the node inherits the
+   * setting again.
+   */
   record ChangeBody(
       String changeId, Long baseRevision, String path, String key, String value, String operator) {}
 
-  /** The JSON body of a change of an agent's or a zone's state, unchecked. */
+  /** The JSON body of a change to the state of an agent or zone, before validation. */
   record StateBody(String operator) {}
 
-  /** The JSON answer to a change. */
+  /** The JSON body of the response to a change. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   record ChangeAnswer(String result, Long revision, String reason) {}
 
@@ -76,7 +79,7 @@
     return Response.status(Response.Status.GATEWAY_TIMEOUT).entity(body).build();
   }
 
-  /** Changes one value of the settings tree. */
+  /** Changes one value in the settings tree. */
   @POST
   @Path("/settings")
   public void changeSettings(ChangeBody body, @Suspended AsyncResponse response) {
@@ -92,7 +95,7 @@
     propose(change, response);
   }
 
-  /** Lets an agent take no new work. */
+  /** Drains an agent, so that it accepts no new work. */
   @POST
   @Path("/members/{agentId}/drain")
   public void drain(
@@ -100,7 +103,7 @@
     changeState(agentId, MemberState.DRAINING, body, response);
   }
 
-  /** Lets an agent take work again. */
+  /** Ends the draining of an agent, so that it accepts work again. */
   @POST
   @Path("/members/{agentId}/undrain")
   public void undrain(
@@ -108,7 +111,7 @@
     changeState(agentId, MemberState.LIVE, body, response);
   }
 
-  /** Evacuates an availability zone: its agents take no new work. */
+  /** Evacuates an availability zone, so that its agents accept no new work. */
   @POST
   @Path("/zones/{zone}/evacuate")
   public void evacuate(
@@ -116,7 +119,7 @@
     changeZone(zone, true, body, response);
   }
 
-  /** Lets the agents of an evacuated availability zone take work again. */
+  /** Restores an evacuated availability zone, so that its agents accept work again. */
   @POST
   @Path("/zones/{zone}/restore")
   public void restore(
--- a/daemon/src/main/java/io/hingehoist/entry/Refusals.java
+++ b/daemon/src/main/java/io/hingehoist/entry/Refusals.java
@@ -5,7 +5,7 @@
 import io.hingehoist.dispatch.RefusalCause;
 import io.hingehoist.dispatch.RequestOutcome;
 
-/** Static helpers that turn refusals into answers. */
+/** Static helpers that convert refusals and outcomes into answers. */
 final class Refusals {
   private static final long RETRY_AFTER_MS = 1_000;
 
@@ -20,7 +20,10 @@
     return new Answer.Refused(refused.cause().name(), refused.reason(), refused.retryAfterMs());
   }
 
-  /** A refusal for what the submission says does not go away by itself: no time to come back. */
+  /**
+   * Returns the answer for a refused admission. It carries a retry time only if the entry was not
+   * live: a refusal caused by the content of the submission would be repeated.
+   */
   static Answer toAnswer(AdmissionRefused refused) {
     long retryAfterMs = refused.reason() == RefusalReason.ENTRY_NOT_LIVE ? RETRY_AFTER_MS : 0;
     return new Answer.Refused(refused.reason().name(), refused.detail(), retryAfterMs);
--- a/daemon/src/main/java/io/hingehoist/entry/RequestBody.java
+++ b/daemon/src/main/java/io/hingehoist/entry/RequestBody.java
@@ -1,6 +1,6 @@
 package io.hingehoist.entry;
 
-/** The JSON body of a single request, unchecked: anything may be missing. */
+/** The JSON body of a single request, before validation: any field may be missing. */
 record RequestBody(
     String caller,
     String submissionId,
--- a/daemon/src/main/java/io/hingehoist/entry/RequestSubmission.java
+++ b/daemon/src/main/java/io/hingehoist/entry/RequestSubmission.java
@@ -1,5 +1,5 @@
 package io.hingehoist.entry;
 
-/** A checked submission of a repeatable request. */
+/** A validated submission of a repeatable request. */
 public record RequestSubmission(
     String service, String jobClass, String team, long deadlineAtMs, String payload) {}
--- a/daemon/src/main/java/io/hingehoist/entry/Submissions.java
+++ b/daemon/src/main/java/io/hingehoist/entry/Submissions.java
@@ -6,12 +6,15 @@
 import java.util.List;
 import java.util.function.ToLongBiFunction;
 
-/** Static helpers that check the bodies of submissions. */
+/** Static helpers that validate the JSON bodies of submissions. */
 final class Submissions {
-  /** The most tasks of one job. */
+  /** Maximum number of tasks in one job. */
   static final int MAX_TASKS = 1_900;
 
-  /** A week: longer than any retention, so that the log's own limit is the one that counts. */
+  /**
+   * One week, which is longer than any retention, so that the limit of the replicated log is the
+   * one that takes effect.
+   */
   private static final long MAX_DEADLINE_MS = 7L * 24 * 3_600 * 1_000;
 
   private static final String DEFAULT_NAME = "default";
@@ -19,7 +22,7 @@
 
   private Submissions() {}
 
-  /** Returns the checked submission of a job. */
+  /** Returns the validated submission of a job. */
   static JobSubmission check(
       JobBody body, ToLongBiFunction<String, String> defaultDeadlineMs, long nowWallMs) {
     if (body.tasks() == null || body.tasks().isEmpty() || body.tasks().size() > MAX_TASKS) {
@@ -45,7 +48,9 @@
         nowWallMs);
   }
 
-  /** Returns the checked submission of a request that must not be repeated: a job of one task. */
+  /**
+   * Returns the validated submission of a request that must not be repeated, as a job of one task.
+   */
   static JobSubmission checkNonRepeatable(
       RequestBody body, ToLongBiFunction<String, String> defaultDeadlineMs, long nowWallMs) {
     return submission(
@@ -86,7 +91,7 @@
         payloads);
   }
 
-  /** Returns the checked submission of a repeatable request. */
+  /** Returns the validated submission of a repeatable request. */
   static RequestSubmission checkRepeatable(
       RequestBody body, ToLongBiFunction<String, String> defaultDeadlineMs, long nowWallMs) {
     String service = name("service", body.service());
--- a/daemon/src/main/java/io/hingehoist/entry/WaitingLimit.java
+++ b/daemon/src/main/java/io/hingehoist/entry/WaitingLimit.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 
-/** Bounds the callers that wait for an answer at once. Thread-safe. */
+/** Limits the number of callers that wait for an answer at the same time. Thread-safe. */
 final class WaitingLimit {
   private static final long RETRY_AFTER_MS = 1_000;
 
@@ -20,8 +20,8 @@
   }
 
   /**
-   * Starts what a caller asks for, unless too many wait. The answer is "unknown" then, not
-   * "refused": whether the same submission was admitted before has not been looked up.
+   * Runs an action unless too many callers are waiting. Above the limit the answer is "unknown",
+   * not "refused", because it has not been checked whether the same submission was admitted before.
    */
   CompletableFuture<Answer> runIfBelowLimit(Supplier<CompletableFuture<Answer>> action) {
     if (waiting.incrementAndGet() > limit) {
--- a/daemon/src/main/java/io/hingehoist/journal/Blocks.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Blocks.java
@@ -8,10 +8,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * Static helpers for checksummed blocks: a length, a CRC-32C of length and content, the content.
+ * Static helpers that encode and decode checksummed blocks. A block consists of a length, a CRC-32C
+ * of length and content, and the content.
  *
- * <p>One block holds one group commit, and the next is written only after it is synced. So a bad
- * block at the very end was never acknowledged, and a bad one before a good one is damage.
+ * <p>A block holds one group commit, and the next block is written only after it is synced.
+ * Therefore an invalid block at the end of the file was never acknowledged, and an invalid block
+ * before a valid one is damage.
  */
 final class Blocks {
   static final int HEADER_BYTES = 8;
@@ -30,7 +32,7 @@
     return block;
   }
 
-  /** Returns the parts of the block at an offset; empty where there is no whole, sound block. */
+  /** Returns the parts of the block at an offset; empty if there is no complete, valid block. */
   static Optional<List<Bytes>> read(ByteBuffer file, int offset) {
     if (file.limit() - offset < HEADER_BYTES) {
       return Optional.empty();
@@ -59,7 +61,10 @@
     return parts;
   }
 
-  /** The length is summed with the content: a run of zeros must not pass for an empty block. */
+  /**
+   * Returns the checksum of a block. It covers the length too, so that a run of zeros is not read
+   * as a valid empty block.
+   */
   private static int checksum(ByteBuffer file, int offset, int length) {
     CRC32C crc = new CRC32C();
     crc.update(file.slice(offset, Integer.BYTES));
--- a/daemon/src/main/java/io/hingehoist/journal/DamageException.java
+++ b/daemon/src/main/java/io/hingehoist/journal/DamageException.java
@@ -4,7 +4,8 @@
 import java.nio.file.Path;
 
 /**
- * Says that a file of the durable state is damaged, and where. The replica must not start on it.
+ * Thrown when a file of the durable state is damaged; the message says where. The replica must not
+ * start with it.
  */
 public final class DamageException extends IOException {
   private DamageException(String message) {
--- a/daemon/src/main/java/io/hingehoist/journal/Disk.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Disk.java
@@ -8,15 +8,15 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The file operations that the journal needs; tests put a failing one in its place. */
+/** The file operations of the journal; tests substitute implementations that fail. */
 public interface Disk {
 
-  /** Returns the disk of this machine. */
+  /** Returns an implementation that uses the file system of this box. */
   static Disk real() {
     return new Disk() {};
   }
 
-  /** Opens a file to append to, and creates it where there is none. */
+  /** Opens a file for appending, and creates it if it does not exist. */
   default SyncedFile openForAppend(Path path) throws IOException {
     FileChannel channel =
         FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -40,7 +40,7 @@
     };
   }
 
-  /** Writes a whole file so that after a crash there is either the old one or the new one. */
+  /** Writes a whole file, so that after a crash either the old or the new content exists. */
   default void writeAtomically(Path path, ByteBuffer content) throws IOException {
     Path temporary = path.resolveSibling(path.getFileName() + ".tmp");
     Files.deleteIfExists(temporary);
@@ -53,7 +53,7 @@
     syncFolder(path.getParent());
   }
 
-  /** Makes the names in a folder durable. */
+  /** Syncs a folder, which makes the names of its files durable. */
   default void syncFolder(Path folder) throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
--- a/daemon/src/main/java/io/hingehoist/journal/Identity.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Identity.java
@@ -11,21 +11,21 @@
 import java.util.UUID;
 
 /**
- * Who a replica is. It lives and dies with the disk: a replica that lost its disk comes back under
- * another identity, so that it can't break a promise that it no longer knows of.
+ * The identity of a replica. It is stored on the disk: a replica that lost its disk returns under
+ * another identity, so that it cannot violate a vote or acknowledgement that it no longer knows of.
  *
- * @param replicaId made at random when the disk was blank
- * @param clusterId the cluster that the disk belongs to; empty for none yet
+ * @param replicaId random, generated when the disk was blank
+ * @param clusterId the cluster that the disk belongs to; empty if it has joined none yet
  */
 public record Identity(String replicaId, String clusterId) {
   private static final String FILE = "identity.properties";
 
-  /** Returns a new identity. */
+  /** Returns a new random identity without a cluster. */
   public static Identity random() {
     return new Identity(UUID.randomUUID().toString(), "");
   }
 
-  /** Returns the identity in a folder; empty if the folder has none. */
+  /** Returns the identity stored in a folder; empty if there is none. */
   public static Optional<Identity> read(Path folder) throws IOException {
     Path file = folder.resolve(FILE);
     if (!Files.exists(file)) {
@@ -35,19 +35,19 @@
     properties.load(new StringReader(Files.readString(file)));
     String replicaId = properties.getProperty("replicaId", "");
     if (replicaId.isEmpty()) {
-      throw DamageException.at(file, 0, "no replicaId");
+      throw DamageException.at(file, 0, "replicaId is missing");
     }
     return Optional.of(new Identity(replicaId, properties.getProperty("clusterId", "")));
   }
 
-  /** Writes this identity into a folder, durably. */
+  /** Writes this identity durably to a folder. */
   public void write(Path folder, Disk disk) throws IOException {
     String text = "replicaId=" + replicaId + "\nclusterId=" + clusterId + "\n";
     ByteBuffer content = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     disk.writeAtomically(folder.resolve(FILE), content);
   }
 
-  /** Returns this identity bound to a cluster. */
+  /** Returns this identity with the given cluster id. */
   public Identity inCluster(String newClusterId) {
     return new Identity(replicaId, newClusterId);
   }
--- a/daemon/src/main/java/io/hingehoist/journal/Journal.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Journal.java
@@ -14,11 +14,11 @@
 import java.util.Optional;
 
 /**
- * The journal of a control replica: segments of checksummed blocks in one folder.
+ * The journal of a control replica, stored as segments of checksummed blocks in one folder.
  *
- * <p>Steps are collected with the {@code add} methods and made durable together by {@link #sync},
- * as one block: a group commit. After an {@link IOException} nothing is known of what the disk
- * holds, so the process must stop. Not thread-safe: the control thread owns it.
+ * <p>The {@code add} methods collect steps, and {@link #sync} makes them durable together as one
+ * block (group commit). After an {@link IOException} the content of the disk is unknown, so the
+ * process must stop. Not thread-safe: confined to the control thread.
  */
 public final class Journal implements AutoCloseable {
   private static final String SUFFIX = ".journal";
@@ -40,9 +40,9 @@
   }
 
   /**
-   * Opens the journal in a folder; a folder without one becomes a blank replica's.
+   * Opens the journal in a folder, or creates one for a blank replica if the folder has none.
    *
-   * @throws DamageException if what was synced can't be read back; the message names the file
+   * @throws DamageException if synced data cannot be read back; the message names the file
    */
   public static Journal open(Path folder, Disk disk, Metrics metrics) throws IOException {
     Journal journal = new Journal(folder, disk, metrics);
@@ -54,19 +54,23 @@
       return journal;
     }
     if (found.isEmpty() || segments.isEmpty()) {
-      throw DamageException.at(folder, 0, "identity and segments belong together, one is missing");
+      throw DamageException.at(folder, 0, "the identity file or the journal segments are missing");
     }
     journal.recover(found.get(), segments);
     return journal;
   }
 
-  /** Makes an empty folder the first replica of a new cluster. Fails where there is a replica. */
+  /**
+   * Founds a new cluster whose first replica is stored in this folder.
+   *
+   * @throws IOException also if the folder already holds the state of a replica
+   */
   public static Identity found(
       Path folder, Disk disk, String clusterId, String replicaAddress, long nowMs)
       throws IOException {
     Files.createDirectories(folder);
     if (Identity.read(folder).isPresent() || !Folders.listSorted(folder, SUFFIX).isEmpty()) {
-      throw new IOException(folder + ": holds the state of a replica already");
+      throw new IOException(folder + ": already holds the state of a replica");
     }
     Identity identity = Identity.random().inCluster(clusterId);
     LogEntry first =
@@ -79,7 +83,10 @@
     return identity;
   }
 
-  /** The identity is written last: a folder that has one is complete. */
+  /**
+   * Writes the initial state. The identity is written last, so a folder with an identity is
+   * complete.
+   */
   private void initialize(DurableState state, Identity newIdentity) throws IOException {
     recovered = state;
     startSegment(0, state.term(), state.votedFor(), state.entries());
@@ -101,12 +108,12 @@
     return identity;
   }
 
-  /** Returns what the disk held when the journal was opened. */
+  /** Returns the state that the disk held when the journal was opened. */
   public DurableState recovered() {
     return recovered;
   }
 
-  /** Binds this disk to a cluster, durably. */
+  /** Binds this disk durably to a cluster. */
   public void joinCluster(String clusterId) throws IOException {
     identity = identity.inCluster(clusterId);
     identity.write(folder, disk);
@@ -122,17 +129,17 @@
     entries.forEach(entry -> unsynced.add(new EntryStep(entry).toBytes()));
   }
 
-  /** Adds the removal of the entries from an index on to the next group commit. */
+  /** Adds the removal of all entries from an index onwards to the next group commit. */
   public void addTruncation(long fromIndex) {
     unsynced.add(new TruncateStep(fromIndex).toBytes());
   }
 
-  /** Returns whether something waits for {@link #sync}. */
+  /** Returns whether there are steps that {@link #sync} has not yet written. */
   public boolean hasUnsynced() {
     return !unsynced.isEmpty();
   }
 
-  /** Writes what was added as one block and returns once it is on the disk. */
+  /** Writes the added steps as one block, and returns once it is on the disk. */
   public void sync() throws IOException {
     if (unsynced.isEmpty()) {
       return;
@@ -147,20 +154,20 @@
     metrics.recordSync(bytes, (System.nanoTime() - startNanos) / 1e9);
   }
 
-  /** Returns the size of the current segment. */
+  /** Returns the size of the current segment in bytes. */
   public long segmentBytes() {
     return segmentBytes;
   }
 
   /**
-   * Saves a snapshot and starts a segment that holds only what follows it.
+   * Saves a snapshot, starts a segment with the entries after it, and deletes older files.
    *
    * @param entriesAfter the entries after the snapshot
    */
   public void saveSnapshot(
       LogSnapshot snapshot, long term, String votedFor, List<LogEntry> entriesAfter)
       throws IOException {
-    // What waits is part of the state passed in.
+    // Unsynced steps are already part of the state passed in.
     unsynced.clear();
     Snapshots.write(folder, snapshot, disk);
     segment.close();
--- a/daemon/src/main/java/io/hingehoist/journal/JournalReader.java
+++ b/daemon/src/main/java/io/hingehoist/journal/JournalReader.java
@@ -14,7 +14,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads the segments of a journal back, cuts off a torn tail, and finds damage. */
+/**
+ * Reads the segments of a journal, truncates a torn tail, and detects damage. Not thread-safe; use
+ * {@link #read}.
+ */
 final class JournalReader {
   private final LogSnapshot snapshot;
   private final List<LogEntry> entries = new ArrayList<>();
@@ -36,8 +39,8 @@
   private void readSegment(Path segment, boolean last) throws IOException {
     ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(segment));
     if (Blocks.read(file, 0).isEmpty()) {
-      // The first block was synced before the segment got its name, so it can't be torn.
-      throw DamageException.at(segment, 0, "the first block is bad");
+      // The first block was synced before the segment was renamed into place, so it cannot be torn.
+      throw DamageException.at(segment, 0, "the first block is invalid");
     }
     int offset = 0;
     while (offset < file.limit()) {
@@ -51,16 +54,19 @@
     }
   }
 
-  /** Only the last block of the last segment can be torn; anything else was synced before. */
+  /**
+   * Truncates a torn block at the end of the last segment. Any other invalid block was synced
+   * earlier, so it is damage.
+   */
   private static void truncateTornTail(Path segment, ByteBuffer file, int offset, boolean last)
       throws IOException {
     if (!last) {
-      throw DamageException.at(segment, offset, "a bad block in a finished segment");
+      throw DamageException.at(segment, offset, "invalid block in a segment that is not the last");
     }
     for (int later = offset + 1; later < file.limit(); later++) {
       if (Blocks.read(file, later).isPresent()) {
         throw DamageException.at(
-            segment, offset, "a bad block before a good one at offset " + later);
+            segment, offset, "invalid block before a valid one at offset " + later);
       }
     }
     try (FileChannel channel = FileChannel.open(segment, StandardOpenOption.WRITE)) {
--- a/daemon/src/main/java/io/hingehoist/journal/Snapshots.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Snapshots.java
@@ -12,7 +12,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Static helpers that keep snapshots as files, each one checksummed block. */
+/** Static helpers that store each snapshot as a file with one checksummed block. */
 final class Snapshots {
   private static final String SUFFIX = ".snapshot";
 
@@ -31,7 +31,7 @@
     snapshot.voters().encode(packer);
   }
 
-  /** Returns the latest snapshot; the empty one if there is none. */
+  /** Returns the latest snapshot, or the empty snapshot if there is none. */
   static LogSnapshot readLatest(Path folder) throws IOException {
     List<Path> files = list(folder);
     if (files.isEmpty()) {
--- a/daemon/src/main/java/io/hingehoist/journal/SyncedFile.java
+++ b/daemon/src/main/java/io/hingehoist/journal/SyncedFile.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A file that grows at its end and can be synced. The control thread owns it. */
+/** An append-only file that can be synced. Not thread-safe: confined to the control thread. */
 public interface SyncedFile extends AutoCloseable {
 
-  /** Writes all of the bytes at the end. */
+  /** Appends all of the bytes. */
   void append(ByteBuffer bytes) throws IOException;
 
-  /** Returns once everything written is on the disk. */
+  /** Syncs the file, and returns once all written bytes are on the disk. */
   void sync() throws IOException;
 
   @Override
--- a/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
+++ b/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
@@ -173,7 +173,7 @@
     assertEquals(recovered().entries(), List.of(entry(3)));
   }
 
-  /** A disk that fails from a moment on, as a full or broken one does. */
+  /** A disk whose writes or syncs can be made to fail, as on a full or broken disk. */
   private static final class FailingDisk implements Disk {
     private boolean isFull;
     private boolean syncFails;
