--- a/cli/src/main/java/io/hingehoist/cli/EntryClient.java
+++ b/cli/src/main/java/io/hingehoist/cli/EntryClient.java
@@ -18,7 +18,7 @@
 final class EntryClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration RESPONSE_TIMEOUT = Duration.ofMinutes(11);
-  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final ObjectMapper MAPPER = new ObjectMapper();
 
   /** The response of an entry. */
   record Response(int status, JsonNode body) {
@@ -35,7 +35,7 @@
   }
 
   static ObjectNode newObject() {
-    return JSON.createObjectNode();
+    return MAPPER.createObjectNode();
   }
 
   Response get(String path) throws IOException {
@@ -79,7 +79,7 @@
 
   private static JsonNode parse(String body) throws IOException {
     try {
-      return JSON.readTree(body);
+      return MAPPER.readTree(body);
     } catch (JsonProcessingException e) {
       throw new IOException("the answer is not JSON: " + body, e);
     }
--- a/cli/src/main/java/io/hingehoist/cli/JobCommands.java
+++ b/cli/src/main/java/io/hingehoist/cli/JobCommands.java
@@ -25,7 +25,7 @@
     EntryClient.Response response = client.get(path);
     while (response.status() == STATUS_RUNNING) {
       JsonNode body = response.body();
-      output.progress(
+      output.writeProgress(
           "running: %s of %d tasks finished"
               .formatted(
                   body.has("finishedTasks") ? body.get("finishedTasks").asText() : "?",
@@ -97,7 +97,7 @@
       for (String line : Files.readAllLines(Path.of(tasks))) {
         list.addObject().put("payload", line);
       }
-      output.progress(
+      output.writeProgress(
           "submission %s of %s, submitted at %d".formatted(submissionId, caller, submittedAtMs));
       EntryClient.Response response = client.post("/v1/jobs?wait=false", body);
       return response.status() == STATUS_RUNNING
--- a/cli/src/main/java/io/hingehoist/cli/JobTimeline.java
+++ b/cli/src/main/java/io/hingehoist/cli/JobTimeline.java
@@ -14,7 +14,8 @@
 
 /**
  * The log lines of all processes about one job, in order of time. It contains each line that names
- * the job, and the state changes of each host, worker or owner named in these lines.
+ * the job, and the state changes of each host, worker or owner named in these lines between the
+ * first and the last of them.
  */
 final class JobTimeline {
   private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/cli/src/main/java/io/hingehoist/cli/Output.java
+++ b/cli/src/main/java/io/hingehoist/cli/Output.java
@@ -24,7 +24,7 @@
   }
 
   /** Writes a line about progress, unless JSON was requested. */
-  void progress(String line) {
+  void writeProgress(String line) {
     if (!json) {
       out.println(line);
     }
--- a/daemon/src/main/java/io/hingehoist/adapter/Adapter.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/Adapter.java
@@ -30,7 +30,7 @@
   /**
    * Returns a client for calls to workers.
    *
-   * @param ownAddress the address whose IP address the outgoing connections are bound to
+   * @param ownAddress the address whose IP address outgoing connections are bound to
    */
   WorkerCalls workerCalls(EventLoop loop, String ownAddress);
 }
--- a/daemon/src/main/java/io/hingehoist/adapter/IgnoredHeartbeat.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/IgnoredHeartbeat.java
@@ -3,7 +3,7 @@
 /**
  * A heartbeat that was ignored because it names no usable worker.
  *
- * @param writer the worker id under which it was sent
+ * @param sender the worker id under which it was sent
  * @param problem why it was ignored
  * @param detail the field, its value and the allowed range
  */
--- a/daemon/src/main/java/io/hingehoist/client/ControlClient.java
+++ b/daemon/src/main/java/io/hingehoist/client/ControlClient.java
@@ -45,7 +45,7 @@
   private static final long RETRY_DELAY_MS = 50;
   private static final int MAX_QUEUED_FRAMES = 8_192;
 
-  private record Pending(CompletableFuture<Message> reply, long expiresAtMs) {}
+  private record PendingRequest(CompletableFuture<Message> reply, long expiresAtMs) {}
 
   private final List<String> addresses;
   private final String ownAddress;
@@ -53,7 +53,7 @@
   private final Metrics metrics;
   private final ThreadFactory threads;
   private final ScheduledExecutorService executor;
-  private final Map<Long, Pending> pending = new HashMap<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
   private FrameConnection connection;
   private String targetAddress;
   private int nextAddress;
@@ -77,7 +77,7 @@
   /**
    * Creates a client of the control replicas at the given addresses.
    *
-   * @param ownAddress the address whose IP address the outgoing connections are bound to
+   * @param ownAddress the address whose IP address outgoing connections are bound to
    */
   public static ControlClient create(
       List<String> addresses,
@@ -192,7 +192,7 @@
           new ControlUnavailableException("failed to connect to a control replica"));
       return;
     }
-    pending.put(requestId, new Pending(reply, nowMs() + timeoutMs));
+    pending.put(requestId, new PendingRequest(reply, nowMs() + timeoutMs));
     if (!connection.send(request.apply(requestId))) {
       dropConnection("the connection was lost");
     }
@@ -251,7 +251,7 @@
   }
 
   private void completeRequest(long requestId, ReplyStatus status, String leader, Message message) {
-    Pending request = pending.remove(requestId);
+    PendingRequest request = pending.remove(requestId);
     if (request != null) {
       request.reply().complete(message);
     }
@@ -290,7 +290,7 @@
       connection.close();
       connection = null;
     }
-    List<Pending> failed = List.copyOf(pending.values());
+    List<PendingRequest> failed = List.copyOf(pending.values());
     pending.clear();
     failed.forEach(
         request -> request.reply().completeExceptionally(new ControlUnavailableException(reason)));
--- a/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
+++ b/daemon/src/main/java/io/hingehoist/config/SettingsFile.java
@@ -169,8 +169,10 @@
   }
 
   private <T> Optional<T> section(
-      NodeSection node, String name, Function<Function<String, String>, T> maker) {
-    return node.roles().contains(name) ? Optional.of(maker.apply(lookup(name))) : Optional.empty();
+      NodeSection node, String name, Function<Function<String, String>, T> factory) {
+    return node.roles().contains(name)
+        ? Optional.of(factory.apply(lookup(name)))
+        : Optional.empty();
   }
 
   private Function<String, String> lookup(String section) {
--- a/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
@@ -82,14 +82,14 @@
   private void startOwner(OwnerSection section) throws IOException {
     OwnerNode owner = OwnerNode.start(settings.node(), section, adapter, metrics, log, loop);
     serveMetrics(section.metricsAddress());
-    watch(changed -> owner.reload(changed.node()));
+    watchSettings(changed -> owner.reload(changed.node()));
     stopAtShutdown(owner::stop);
   }
 
   private void startHost(HostSection section) throws IOException {
     HostNode host = HostNode.start(settings.node(), section, adapter, metrics, log, loop);
     serveMetrics(section.metricsAddress());
-    watch(changed -> host.reload(changed.node()));
+    watchSettings(changed -> host.reload(changed.node()));
     stopAtShutdown(host::stop);
   }
 
@@ -105,12 +105,12 @@
             Optional.of(RouteFeed.of(loop, OwnerNode.CONFIGURATION, adapter::toRoutes)),
             Main::halt);
     if (!section.doorAddress().isEmpty()) {
-      LocalOrders orders = LocalOrders.of(control, loop, OwnerNode.CONFIGURATION);
+      LocalOrders commands = LocalOrders.of(control, loop, OwnerNode.CONFIGURATION);
       HttpServer.open(
-          loop, section.doorAddress(), MAX_OPERATOR_BODY_BYTES, adapter.operatorHandler(orders));
+          loop, section.doorAddress(), MAX_OPERATOR_BODY_BYTES, adapter.operatorHandler(commands));
     }
     serveMetrics(section.metricsAddress());
-    watch(changed -> control.reload(changed.node()));
+    watchSettings(changed -> control.reload(changed.node()));
     stopAtShutdown(
         () -> {
           control.close();
@@ -135,7 +135,7 @@
     log.write("clusterFounded", settings.node().nodeId(), "cluster=" + identity.clusterId());
   }
 
-  private void watch(Consumer<DaemonSettings> changes) {
+  private void watchSettings(Consumer<DaemonSettings> changes) {
     SettingsFileWatcher.start(file, loop, log, changes);
   }
 
@@ -157,13 +157,13 @@
     }
   }
 
-  private void answerMetrics(HttpExchange call) {
+  private void answerMetrics(HttpExchange exchange) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     try {
       PrometheusTextFormatWriter.create().write(text, metrics.registry().scrape());
     } catch (IOException e) {
       throw new UncheckedIOException("writing to memory cannot fail", e);
     }
-    call.answer(HttpResponse.text(200, text.toString(java.nio.charset.StandardCharsets.UTF_8)));
+    exchange.answer(HttpResponse.text(200, text.toString(java.nio.charset.StandardCharsets.UTF_8)));
   }
 }
--- a/daemon/src/main/java/io/hingehoist/daemon/Main.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/Main.java
@@ -81,13 +81,13 @@
         System.out.println("the settings are sound");
         yield ExitCode.OK;
       }
-      case "found" -> found(settings);
+      case "found" -> foundCluster(settings);
       case "archive" -> archive(settings);
       default -> start(settings, file);
     };
   }
 
-  private static ExitCode found(DaemonSettings settings) {
+  private static ExitCode foundCluster(DaemonSettings settings) {
     if (settings.control().isEmpty()) {
       System.err.println("node.roles: value has no control; allowed: a file with the control role");
       return ExitCode.BAD_SETTINGS;
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -126,13 +126,17 @@
   }
 
   private void addGauges() {
-    metrics.addGauge("hingehoist_waiting_tasks", "Work held back here.", () -> waitingCount);
-    metrics.addGauge("hingehoist_in_flight_tasks", "Work sent to agents.", () -> inFlightCount);
     metrics.addGauge(
-        "hingehoist_usable_workers", "Workers that take work from here.", () -> usableWorkers);
+        "hingehoist_waiting_tasks", "Work that waits in this entry.", () -> waitingCount);
+    metrics.addGauge(
+        "hingehoist_in_flight_tasks", "Work sent to agents and not finished.", () -> inFlightCount);
+    metrics.addGauge(
+        "hingehoist_usable_workers",
+        "Workers that accept work from this entry.",
+        () -> usableWorkers);
     metrics.addGauge(
         "hingehoist_settings_revision",
-        "Revision of the settings in force here.",
+        "Revision of the settings in force in this entry.",
         () -> settingsView.revision());
   }
 
@@ -326,7 +330,7 @@
    * Performs a planned stop. It fails the health check, then refuses new work, then waits until
    * every caller has an answer, and hands the remaining jobs over to other entries.
    *
-   * @return whether every caller had an answer before the time-out
+   * @return whether all work was settled before the time-out
    */
   public boolean stop() {
     stopRequested = true;
--- a/daemon/src/main/java/io/hingehoist/entry/JobManager.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobManager.java
@@ -56,7 +56,7 @@
   private final java.util.function.LongSupplier incarnation;
   private final Map<Key, LocalJob> byKey = new HashMap<>();
   private final Map<Long, LocalJob> byJobId = new HashMap<>();
-  private final Set<Long> adopting = new HashSet<>();
+  private final Set<Long> pendingAdoptions = new HashSet<>();
 
   JobManager(
       String entryId,
@@ -81,12 +81,12 @@
    */
   LocalJob submit(JobSubmission submission, boolean refuseAll, long nowMs) {
     Key key = new Key(submission.caller(), submission.submissionId());
-    LocalJob running = byKey.get(key);
-    if (running != null && running.submission().digest().equals(submission.digest())) {
-      return running;
+    LocalJob existing = byKey.get(key);
+    if (existing != null && existing.submission().digest().equals(submission.digest())) {
+      return existing;
     }
     LocalJob job = LocalJob.of(submission);
-    if (running == null) {
+    if (existing == null) {
       byKey.put(key, job);
       job.ended()
           .whenComplete((answer, failure) -> dispatchThread.execute(() -> byKey.remove(key, job)));
@@ -133,7 +133,7 @@
         .whenComplete(
             (answer, failure) -> {
               if (failure != null) {
-                job.end(new Answer.Unknown("no control replica leads", RETRY_AFTER_MS));
+                job.end(new Answer.Unknown("no control replica is the leader", RETRY_AFTER_MS));
               } else if (answer instanceof NoSuchJob) {
                 job.end(Refusals.toAnswer(refusal));
               } else {
@@ -180,7 +180,7 @@
         job.admitted().complete(new Answer.Running(-1, job.submission().payloads().size()));
         awaitRemoteOutcome(job);
       }
-      case AlreadyEnded already -> job.end(toAnswer(already.outcome()));
+      case AlreadyEnded ended -> job.end(toAnswer(ended.outcome()));
       case AdmissionRefused refused when refused.reason() == RefusalReason.ENTRY_NOT_LIVE ->
           retryAdmission(job);
       case AdmissionRefused refused -> job.end(Refusals.toAnswer(refused));
@@ -224,7 +224,7 @@
 
   /** Adopts a job whose owner has ended. */
   void adopt(OwnedJob owned) {
-    if (!adopting.add(owned.jobId())) {
+    if (!pendingAdoptions.add(owned.jobId())) {
       return;
     }
     control
@@ -233,7 +233,7 @@
             (answer, failure) ->
                 dispatchThread.execute(
                     () -> {
-                      adopting.remove(owned.jobId());
+                      pendingAdoptions.remove(owned.jobId());
                       if (answer instanceof JobRecord record) {
                         adopt(owned, record);
                       }
@@ -283,9 +283,9 @@
 
   /** Hands every job over to its next owner; callers of this entry keep waiting for the outcome. */
   void onIncarnationEnded() {
-    List<LocalJob> left = List.copyOf(byJobId.values());
+    List<LocalJob> unfinishedJobs = List.copyOf(byJobId.values());
     byJobId.clear();
-    left.forEach(this::awaitRemoteOutcome);
+    unfinishedJobs.forEach(this::awaitRemoteOutcome);
   }
 
   /** Polls for an outcome that another entry commits. */
@@ -297,11 +297,11 @@
     find(submission.caller(), submission.submissionId(), FIND_WAIT_MS)
         .whenComplete(
             (answer, failure) -> {
-              boolean open =
+              boolean unfinished =
                   failure != null
                       || answer instanceof Answer.Running
                       || answer instanceof Answer.Unknown;
-              if (open) {
+              if (unfinished) {
                 CompletableFuture.delayedExecutor(
                         QUERY_MARGIN_MS / 10, TimeUnit.MILLISECONDS, dispatchThread)
                     .execute(() -> awaitRemoteOutcome(job));
@@ -316,7 +316,8 @@
     return control
         .query(new FindJob(caller, submissionId, waitMs), waitMs + QUERY_MARGIN_MS)
         .thenApplyAsync(this::toAnswer, dispatchThread)
-        .exceptionally(failure -> new Answer.Unknown("no control replica leads", RETRY_AFTER_MS));
+        .exceptionally(
+            failure -> new Answer.Unknown("no control replica is the leader", RETRY_AFTER_MS));
   }
 
   private Answer toAnswer(QueryAnswer answer) {
--- a/daemon/src/main/java/io/hingehoist/journal/Journal.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Journal.java
@@ -47,16 +47,16 @@
   public static Journal open(Path folder, Disk disk, Metrics metrics) throws IOException {
     Journal journal = new Journal(folder, disk, metrics);
     Files.createDirectories(folder);
-    Optional<Identity> found = Identity.read(folder);
+    Optional<Identity> storedIdentity = Identity.read(folder);
     List<Path> segments = Folders.listSorted(folder, SUFFIX);
-    if (found.isEmpty() && segments.isEmpty()) {
+    if (storedIdentity.isEmpty() && segments.isEmpty()) {
       journal.initialize(DurableState.blank(), Identity.random());
       return journal;
     }
-    if (found.isEmpty() || segments.isEmpty()) {
+    if (storedIdentity.isEmpty() || segments.isEmpty()) {
       throw DamageException.at(folder, 0, "the identity file or the journal segments are missing");
     }
-    journal.recover(found.get(), segments);
+    journal.recover(storedIdentity.get(), segments);
     return journal;
   }
 
@@ -94,8 +94,8 @@
     identity.write(folder, disk);
   }
 
-  private void recover(Identity found, List<Path> segments) throws IOException {
-    identity = found;
+  private void recover(Identity storedIdentity, List<Path> segments) throws IOException {
+    identity = storedIdentity;
     recovered = JournalReader.read(segments, Snapshots.readLatest(folder));
     Path last = segments.getLast();
     segmentNumber = numberOf(last);
--- a/daemon/src/main/java/io/hingehoist/journal/Snapshots.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Snapshots.java
@@ -19,12 +19,12 @@
   private Snapshots() {}
 
   static void write(Path folder, LogSnapshot snapshot, Disk disk) throws IOException {
-    Bytes head = Bytes.encoded(0, packer -> encodeHead(snapshot, packer));
-    ByteBuffer block = Blocks.toBlock(List.of(head, snapshot.state()));
+    Bytes header = Bytes.encoded(0, packer -> encodeHeader(snapshot, packer));
+    ByteBuffer block = Blocks.toBlock(List.of(header, snapshot.state()));
     disk.writeAtomically(fileOf(folder, snapshot.lastIndex()), block);
   }
 
-  private static void encodeHead(LogSnapshot snapshot, org.msgpack.core.MessagePacker packer)
+  private static void encodeHeader(LogSnapshot snapshot, org.msgpack.core.MessagePacker packer)
       throws IOException {
     packer.packLong(snapshot.lastIndex());
     packer.packLong(snapshot.lastTerm());
@@ -42,8 +42,8 @@
     if (parts.isEmpty() || parts.get().size() != 2) {
       throw DamageException.at(file, 0, "the checksum of the snapshot is wrong");
     }
-    Bytes head = parts.get().get(0);
-    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(head.toArray())) {
+    Bytes header = parts.get().get(0);
+    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(header.toArray())) {
       unpacker.unpackInt();
       return new LogSnapshot(
           unpacker.unpackLong(),
@@ -54,9 +54,9 @@
   }
 
   static void deleteBefore(Path folder, long index) throws IOException {
-    Path kept = fileOf(folder, index);
+    Path oldestKept = fileOf(folder, index);
     for (Path file : list(folder)) {
-      if (file.compareTo(kept) < 0) {
+      if (file.compareTo(oldestKept) < 0) {
         Files.delete(file);
       }
     }
--- a/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
+++ b/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
@@ -49,7 +49,7 @@
     }
   }
 
-  private DurableState recovered() throws IOException {
+  private DurableState readState() throws IOException {
     try (Journal journal = open()) {
       return journal.recovered();
     }
@@ -67,7 +67,7 @@
       journal.addTruncation(3);
       journal.sync();
     }
-    DurableState state = recovered();
+    DurableState state = readState();
     assertEquals(state.term(), 3);
     assertEquals(state.votedFor(), "candidate");
     assertEquals(state.entries(), List.of(entry(1), entry(2)));
@@ -89,7 +89,7 @@
       try (FileChannel channel = FileChannel.open(segment(), StandardOpenOption.WRITE)) {
         channel.truncate(untruncatedSize - missingBytes);
       }
-      assertEquals(recovered().entries(), List.of(entry(1), entry(2)));
+      assertEquals(readState().entries(), List.of(entry(1), entry(2)));
       rewriteThirdEntry();
     }
   }
@@ -99,7 +99,7 @@
       journal.addEntries(List.of(entry(3)));
       journal.sync();
     }
-    assertEquals(recovered().entries().size(), 3);
+    assertEquals(readState().entries().size(), 3);
   }
 
   @Test
@@ -109,7 +109,7 @@
     int secondBlock = Blocks.sizeAt(content, 0);
     content.put(secondBlock + 12, (byte) ~content.get(secondBlock + 12));
     Files.write(segment(), content.array());
-    String message = expectThrows(DamageException.class, this::recovered).getMessage();
+    String message = expectThrows(DamageException.class, this::readState).getMessage();
     assertTrue(message.contains(segment().toString()), message);
     assertTrue(message.contains("offset " + secondBlock), message);
   }
@@ -120,14 +120,14 @@
     byte[] content = Files.readAllBytes(segment());
     content[content.length - 1]++;
     Files.write(segment(), content);
-    assertThrows(DamageException.class, this::recovered);
+    assertThrows(DamageException.class, this::readState);
   }
 
   @Test
   public void identityWithoutSegmentsFailsOpen() throws IOException {
     writeEntries(1);
     Files.delete(segment());
-    assertThrows(DamageException.class, this::recovered);
+    assertThrows(DamageException.class, this::readState);
   }
 
   @Test
@@ -141,7 +141,7 @@
       journal.addEntries(List.of(entry(4)));
       journal.sync();
     }
-    DurableState state = recovered();
+    DurableState state = readState();
     assertEquals(state.snapshot(), snapshot);
     assertEquals(state.entries(), List.of(entry(3), entry(4)));
     assertEquals(state.term(), 4);
@@ -161,7 +161,7 @@
     byte[] content = Files.readAllBytes(file);
     content[50]++;
     Files.write(file, content);
-    assertThrows(DamageException.class, this::recovered);
+    assertThrows(DamageException.class, this::readState);
   }
 
   @Test
@@ -170,7 +170,7 @@
     LogSnapshot snapshot =
         new LogSnapshot(2, 1, new ReplicaSet(List.of()), Bytes.copyOf(new byte[] {9}));
     Snapshots.write(folder, snapshot, Disk.real());
-    assertEquals(recovered().entries(), List.of(entry(3)));
+    assertEquals(readState().entries(), List.of(entry(3)));
   }
 
   /** A disk whose writes or syncs can be made to fail, as on a full or broken disk. */
@@ -217,7 +217,7 @@
     disk.isFull = true;
     journal.addEntries(List.of(entry(2)));
     assertThrows(IOException.class, journal::sync);
-    assertEquals(recovered().entries(), List.of(entry(1)));
+    assertEquals(readState().entries(), List.of(entry(1)));
   }
 
   @Test
