--- a/cli/src/main/java/io/hingehoist/cli/OperatorChange.java
+++ b/cli/src/main/java/io/hingehoist/cli/OperatorCommand.java
@@ -3,8 +3,8 @@
 import com.beust.jcommander.Parameter;
 import java.io.IOException;
 
-/** What the commands share that change something in an operator's name. */
-abstract class OperatorChange {
+/** Base class of the commands that make a change in the name of an operator. */
+abstract class OperatorCommand {
   @Parameter(names = "--operator", description = "Who makes the change")
   private String operator = System.getProperty("user.name");
 
@@ -12,8 +12,8 @@
     return operator;
   }
 
-  /** Orders a change that a path says in full. */
-  final ExitCode order(EntryClient client, Output output, String path) throws IOException {
+  /** Posts a change that is fully described by the path. */
+  final ExitCode postChange(EntryClient client, Output output, String path) throws IOException {
     return output.writeChange(client.post(path, EntryClient.newObject().put("operator", operator)));
   }
 }
--- a/cli/src/main/java/io/hingehoist/cli/Output.java
+++ b/cli/src/main/java/io/hingehoist/cli/Output.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintStream;
 
-/** Writes answers: JSON for scripts, text for people. */
+/** Writes results as JSON for scripts or as text for operators. */
 final class Output {
   private final PrintStream out;
   private final boolean json;
@@ -13,7 +13,7 @@
     this.json = json;
   }
 
-  /** Writes an answer as JSON, or else as the text for people. */
+  /** Writes a response as JSON, or the given text if JSON was not requested. */
   void write(JsonNode body, Object text) {
     if (json) {
       out.println(body);
@@ -23,16 +23,16 @@
     }
   }
 
-  /** Writes a line about progress, for people only. */
-  void progress(String line) {
+  /** Writes a line about progress, unless JSON was requested. */
+  void writeProgress(String line) {
     if (!json) {
       out.println(line);
     }
   }
 
-  /** Writes the answer to a change, and returns what it means for the exit code. */
-  ExitCode writeChange(EntryClient.Reply reply) {
-    JsonNode body = reply.body();
+  /** Writes the response to a change, and returns the exit code for it. */
+  ExitCode writeChange(EntryClient.Response response) {
+    JsonNode body = response.body();
     StringBuilder text =
         new StringBuilder(body.path("result").asText(body.path("outcome").asText()));
     if (body.has("revision")) {
@@ -42,14 +42,14 @@
       text.append(": ").append(body.get("reason").asText());
     }
     write(body, text.append(System.lineSeparator()));
-    return codeOf(reply);
+    return exitCodeOf(response);
   }
 
-  /** Returns what a reply means for the exit code. */
-  static ExitCode codeOf(EntryClient.Reply reply) {
-    if (reply.isOk()) {
-      return reply.body().has("error") ? ExitCode.REFUSED : ExitCode.OK;
+  /** Returns the exit code for a response. */
+  static ExitCode exitCodeOf(EntryClient.Response response) {
+    if (response.isOk()) {
+      return response.body().has("error") ? ExitCode.REFUSED : ExitCode.OK;
     }
-    return reply.status() == 504 ? ExitCode.UNAVAILABLE : ExitCode.REFUSED;
+    return response.status() == 504 ? ExitCode.UNAVAILABLE : ExitCode.REFUSED;
   }
 }
--- a/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
+++ b/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
@@ -17,11 +17,11 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Sends payloads to the backend server by HTTP POST, each at most once: nothing is ever sent again
- * here. Thread-safe.
+ * Sends payloads to the backend server by HTTP POST. Requests are never retried, so each payload is
+ * sent at most once. Thread-safe.
  */
 final class BackendClient implements AutoCloseable {
-  /** Names the task to the backend server, for its own log. */
+  /** Header with the name of the task, for the log of the backend server. */
   static final String TASK_HEADER = "Hingehoist-Task";
 
   private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -36,7 +36,7 @@
     this.http = http;
   }
 
-  /** Creates a client that keeps within a number of connections. */
+  /** Creates a client that opens at most {@code connections} connections. */
   static BackendClient create(String url, int connections) {
     PoolingHttpClientConnectionManager pool = new PoolingHttpClientConnectionManager();
     pool.setMaxTotal(connections);
@@ -58,8 +58,8 @@
     return new BackendClient(url, http);
   }
 
-  /** Sends a payload and waits for the answer. */
-  BackendAnswer run(String taskName, String payload, long timeoutMs) {
+  /** Sends a payload and waits for the response. */
+  BackendResult run(String taskName, String payload, long timeoutMs) {
     HttpPost post = new HttpPost(url);
     post.setHeader(TASK_HEADER, taskName);
     post.setEntity(new StringEntity(payload, ContentType.TEXT_PLAIN.withCharset("UTF-8")));
@@ -72,35 +72,35 @@
     try {
       return http.execute(post, response -> toAnswer(response, startNanos));
     } catch (ConnectException e) {
-      return new BackendAnswer.NotReached(String.valueOf(e.getMessage()));
+      return new BackendResult.NotReached(String.valueOf(e.getMessage()));
     } catch (IOException e) {
       String reason = e.getClass().getSimpleName() + ": " + e.getMessage();
-      return new BackendAnswer.Ended(TaskState.FAILED, shorten(reason), micros(startNanos));
+      return new BackendResult.Ended(TaskState.FAILED, truncate(reason), elapsedMicros(startNanos));
     }
   }
 
-  private static BackendAnswer toAnswer(ClassicHttpResponse response, long startNanos)
+  private static BackendResult toAnswer(ClassicHttpResponse response, long startNanos)
       throws IOException {
     String body;
     try {
       body = EntityUtils.toString(response.getEntity(), MAX_RESULT_BYTES);
     } catch (org.apache.hc.core5.http.ParseException e) {
-      throw new IOException("the answer has no readable content type", e);
+      throw new IOException("the response has an invalid content type", e);
     }
     boolean success = response.getCode() / 100 == 2;
     if (success) {
-      return new BackendAnswer.Ended(TaskState.SUCCEEDED, body, micros(startNanos));
+      return new BackendResult.Ended(TaskState.SUCCEEDED, body, elapsedMicros(startNanos));
     }
     String reason = "HTTP " + response.getCode() + ": " + body;
-    return new BackendAnswer.Ended(TaskState.FAILED, shorten(reason), micros(startNanos));
+    return new BackendResult.Ended(TaskState.FAILED, truncate(reason), elapsedMicros(startNanos));
   }
 
-  private static String shorten(String reason) {
+  private static String truncate(String reason) {
     int end = Math.min(reason.length(), MAX_REASON_CHARACTERS);
     return reason.substring(0, end);
   }
 
-  private static long micros(long startNanos) {
+  private static long elapsedMicros(long startNanos) {
     return Math.max(1, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos));
   }
 
--- a/daemon/src/main/java/io/hingehoist/daemon/AdaptedProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
@@ -32,12 +32,12 @@
 import java.util.function.Consumer;
 
 /**
- * A process whose outside is served by an adapter: an owner, a host, or a control replica. It
- * starts no Dropwizard, Jersey or Guice, as the boxes that it is meant for have a fraction of a
- * core.
+ * A process that serves its callers, workers or operators through an adapter: an owner, a host, or
+ * a control replica. It does not start Dropwizard, Jersey or Guice, because it is meant for boxes
+ * with a fraction of a core.
  */
-final class AdaptedProcess {
-  private static final int MAX_DOOR_BODY_BYTES = 8 * 1024 * 1024;
+final class AdapterProcess {
+  private static final int MAX_OPERATOR_BODY_BYTES = 8 * 1024 * 1024;
   private static final int MAX_METRICS_BODY_BYTES = 1_024;
 
   private final DaemonSettings settings;
@@ -47,7 +47,7 @@
   private final DecisionLog log;
   private final EventLoop loop;
 
-  private AdaptedProcess(DaemonSettings settings, Path file, Adapter adapter, Metrics metrics) {
+  private AdapterProcess(DaemonSettings settings, Path file, Adapter adapter, Metrics metrics) {
     this.settings = settings;
     this.file = file;
     this.adapter = adapter;
@@ -64,7 +64,7 @@
                 () ->
                     new IOException(
                         "node.adapter: value \"" + name + "\" is not on the class path"));
-    new AdaptedProcess(settings, file, adapter, metrics).start();
+    new AdapterProcess(settings, file, adapter, metrics).start();
   }
 
   private void start() throws IOException {
@@ -82,19 +82,19 @@
   private void startOwner(OwnerSection section) throws IOException {
     OwnerNode owner = OwnerNode.start(settings.node(), section, adapter, metrics, log, loop);
     serveMetrics(section.metricsAddress());
-    watch(changed -> owner.reload(changed.node()));
-    stopWith(owner::stop);
+    watchSettings(changed -> owner.reload(changed.node()));
+    stopAtShutdown(owner::stop);
   }
 
   private void startHost(HostSection section) throws IOException {
     HostNode host = HostNode.start(settings.node(), section, adapter, metrics, log, loop);
     serveMetrics(section.metricsAddress());
-    watch(changed -> host.reload(changed.node()));
-    stopWith(host::stop);
+    watchSettings(changed -> host.reload(changed.node()));
+    stopAtShutdown(host::stop);
   }
 
   private void startControl(ControlSection section) throws IOException {
-    foundIfDue(section);
+    foundClusterIfConfigured(section);
     ControlNode control =
         ControlNode.start(
             settings.node(),
@@ -105,20 +105,20 @@
             Optional.of(RouteFeed.of(loop, OwnerNode.CONFIGURATION, adapter::toRoutes)),
             Main::halt);
     if (!section.doorAddress().isEmpty()) {
-      LocalOrders orders = LocalOrders.of(control, loop, OwnerNode.CONFIGURATION);
+      LocalOrders commands = LocalOrders.of(control, loop, OwnerNode.CONFIGURATION);
       HttpServer.open(
-          loop, section.doorAddress(), MAX_DOOR_BODY_BYTES, adapter.controlDoor(orders));
+          loop, section.doorAddress(), MAX_OPERATOR_BODY_BYTES, adapter.operatorHandler(commands));
     }
     serveMetrics(section.metricsAddress());
-    watch(changed -> control.reload(changed.node()));
-    stopWith(
+    watchSettings(changed -> control.reload(changed.node()));
+    stopAtShutdown(
         () -> {
           control.close();
           return true;
         });
   }
 
-  private void foundIfDue(ControlSection section) throws IOException {
+  private void foundClusterIfConfigured(ControlSection section) throws IOException {
     Path folder = Path.of(settings.node().dataFolder());
     boolean founds =
         !section.foundsAt().isEmpty() && section.foundsAt().equals(section.doorAddress());
@@ -135,11 +135,11 @@
     log.write("clusterFounded", settings.node().nodeId(), "cluster=" + identity.clusterId());
   }
 
-  private void watch(Consumer<DaemonSettings> changes) {
-    SettingsWatch.start(file, loop, log, changes);
+  private void watchSettings(Consumer<DaemonSettings> changes) {
+    SettingsFileWatcher.start(file, loop, log, changes);
   }
 
-  private void stopWith(BooleanSupplier stop) {
+  private void stopAtShutdown(BooleanSupplier stop) {
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
@@ -157,13 +157,13 @@
     }
   }
 
-  private void answerMetrics(HttpExchange call) {
+  private void answerMetrics(HttpExchange exchange) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     try {
       PrometheusTextFormatWriter.create().write(text, metrics.registry().scrape());
     } catch (IOException e) {
       throw new UncheckedIOException("writing to memory cannot fail", e);
     }
-    call.answer(HttpResponse.text(200, text.toString(java.nio.charset.StandardCharsets.UTF_8)));
+    exchange.answer(HttpResponse.text(200, text.toString(java.nio.charset.StandardCharsets.UTF_8)));
   }
 }
--- a/daemon/src/main/java/io/hingehoist/daemon/LineFormatter.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/LineFormatter.java
@@ -7,8 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Writes one line a record, as text or as JSON. Messages are pairs of key and value, such as {@code
- * event=leaseLost agent=w1}; as JSON each pair is a field.
+ * Formats each log record as one line of text or JSON. Messages are key-value pairs, such as {@code
+ * event=leaseLost agent=w1}; in JSON each pair becomes a field.
  */
 final class LineFormatter extends Formatter {
   private static final Pattern PAIR = Pattern.compile("(\\w+)=(\"[^\"]*\"|\\S*)");
@@ -31,16 +31,16 @@
   }
 
   private static String toText(LogRecord record, String logger, String message) {
-    return "%s %s %s %s%n".formatted(at(record), record.getLevel(), logger, message);
+    return "%s %s %s %s%n".formatted(timestamp(record), record.getLevel(), logger, message);
   }
 
-  private static Instant at(LogRecord record) {
+  private static Instant timestamp(LogRecord record) {
     return Instant.ofEpochMilli(record.getMillis());
   }
 
   private static String toJson(LogRecord record, String logger, String message) {
     StringBuilder line = new StringBuilder();
-    line.append("{\"at\":\"").append(at(record)).append("\",\"level\":\"");
+    line.append("{\"at\":\"").append(timestamp(record)).append("\",\"level\":\"");
     line.append(record.getLevel()).append("\",\"logger\":\"").append(logger).append('"');
     Matcher pairs = PAIR.matcher(message);
     while (pairs.find()) {
--- a/daemon/src/main/java/io/hingehoist/daemon/Main.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/Main.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.UUID;
 
-/** Starts {@code hingehoistd}. */
+/** The entry point of {@code hingehoistd}. */
 public final class Main {
   private static final String USAGE =
       """
@@ -35,7 +35,7 @@
 
   /** Runs the program. */
   public static void main(String[] args) {
-    Logs.chooseBackend();
+    LogSetup.chooseBackend();
     ExitCode code = run(List.of(args));
     if (code != ExitCode.OK) {
       System.exit(code.code());
@@ -81,13 +81,13 @@
         System.out.println("the settings are sound");
         yield ExitCode.OK;
       }
-      case "found" -> found(settings);
+      case "found" -> foundCluster(settings);
       case "archive" -> archive(settings);
       default -> start(settings, file);
     };
   }
 
-  private static ExitCode found(DaemonSettings settings) {
+  private static ExitCode foundCluster(DaemonSettings settings) {
     if (settings.control().isEmpty()) {
       System.err.println("node.roles: value has no control; allowed: a file with the control role");
       return ExitCode.BAD_SETTINGS;
@@ -114,7 +114,7 @@
       return ExitCode.BAD_SETTINGS;
     }
     try {
-      AgentProcess.rehearse(settings);
+      AgentProcess.warmUp(settings);
       return ExitCode.OK;
     } catch (IOException e) {
       System.err.println("can't start: " + e);
@@ -123,11 +123,11 @@
   }
 
   private static ExitCode start(DaemonSettings settings, Path file) {
-    Logs.configure(settings.node());
+    LogSetup.configure(settings.node());
     Metrics metrics = Metrics.create();
     try {
       if (!settings.node().adapter().isEmpty()) {
-        AdaptedProcess.start(settings, file, metrics);
+        AdapterProcess.start(settings, file, metrics);
       } else if (settings.agent().isPresent()) {
         AgentProcess.start(settings, metrics);
       } else {
@@ -143,7 +143,10 @@
     }
   }
 
-  /** Stops the process at once: after this error, going on could break a promise. */
+  /**
+   * Halts the process at once, because continuing after this error could violate a durability
+   * guarantee or an invariant.
+   */
   static void halt(Throwable error) {
     ExitCode code = error instanceof IOException ? ExitCode.DISK_FAILED : ExitCode.BROKEN_INVARIANT;
     System.err.println("event=halted code=" + code.code() + " error=\"" + error + "\"");
--- a/daemon/src/main/java/io/hingehoist/entry/EntryApplication.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryApplication.java
@@ -26,8 +26,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The HTTP side of an entry, on Dropwizard. Its configuration comes from the settings file that was
- * checked before, not from a file of its own.
+ * The Dropwizard application that serves the HTTP API of an entry. Its configuration is derived
+ * from the validated settings file, not from a file of its own.
  */
 public final class EntryApplication extends Application<Configuration> {
   private static final int MAX_THREADS = 256;
@@ -41,7 +41,7 @@
     this.metrics = metrics;
   }
 
-  /** Starts to serve. Returns once connections are taken. */
+  /** Starts the HTTP server, and returns once it accepts connections. */
   public static EntryApplication start(EntryNode entry, Metrics metrics) throws Exception {
     EntryApplication application = new EntryApplication(entry, metrics);
     application.run("server");
@@ -53,14 +53,17 @@
     return "hingehoistd";
   }
 
-  /** Dropwizard's own lines go through Logback; the process's lines are set up before it. */
+  /**
+   * Sets the level of Dropwizard's own log, which goes through Logback. The log of the process is
+   * configured before.
+   */
   @Override
   protected void bootstrapLogging() {
     ((Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME)).setLevel(Level.WARN);
   }
 
-  /** Leaves logging as the process has set it up. */
-  private static final class UntouchedLogging implements LoggingFactory {
+  /** A logging factory that leaves the logging configuration of the process unchanged. */
+  private static final class NoOpLoggingFactory implements LoggingFactory {
     @Override
     public void configure(MetricRegistry metricRegistry, String name) {}
 
@@ -71,8 +74,11 @@
     public void reset() {}
   }
 
-  /** Tells Dropwizard's own page what {@code /health/ready} tells the balancer. */
-  private final class LeaseCheck extends HealthCheck {
+  /**
+   * Reports on Dropwizard's admin page the same state as {@code /health/ready} reports to the load
+   * balancer.
+   */
+  private final class LeaseHealthCheck extends HealthCheck {
     @Override
     protected Result check() {
       return entry.isReady() ? Result.healthy() : Result.unhealthy("no fresh lease, or stopping");
@@ -82,10 +88,10 @@
   @Override
   public void initialize(Bootstrap<Configuration> bootstrap) {
     bootstrap.setConfigurationFactoryFactory(
-        (type, validator, mapper, prefix) -> new CheckedConfiguration());
+        (type, validator, mapper, prefix) -> new PresetConfigurationFactory());
   }
 
-  private final class CheckedConfiguration implements ConfigurationFactory<Configuration> {
+  private final class PresetConfigurationFactory implements ConfigurationFactory<Configuration> {
     @Override
     public Configuration build(ConfigurationSourceProvider provider, String path) {
       return build();
@@ -108,7 +114,7 @@
       factory.setRequestLogFactory(requestLog);
       Configuration configuration = new Configuration();
       configuration.setServerFactory(factory);
-      configuration.setLoggingFactory(new UntouchedLogging());
+      configuration.setLoggingFactory(new NoOpLoggingFactory());
       return configuration;
     }
   }
@@ -123,7 +129,7 @@
     jersey.register(injector.getInstance(JobResource.class));
     jersey.register(injector.getInstance(OperatorResource.class));
     jersey.register(injector.getInstance(HealthResource.class));
-    environment.healthChecks().register("lease", new LeaseCheck());
+    environment.healthChecks().register("lease", new LeaseHealthCheck());
     environment
         .servlets()
         .addServlet("metrics", new PrometheusMetricsServlet(metrics.registry()))
@@ -134,13 +140,13 @@
     environment.lifecycle().addServerLifecycleListener(this::onStarted);
   }
 
-  /** The planned stop decides when the server stops, not the end of the process. */
+  /** Disables Jetty's own shutdown hook: the planned stop decides when the server stops. */
   private void onStarted(Server started) {
     started.setStopAtShutdown(false);
     server.complete(started);
   }
 
-  /** Stops to serve, after the answers that are being written. */
+  /** Stops the HTTP server once the responses in progress are written. */
   public void stop() throws Exception {
     server.join().stop();
   }
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -38,8 +38,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * An entry: one dispatch thread that owns all of its state, and traffic threads around it. The
- * public methods are thread-safe; their futures complete on any thread.
+ * An entry: one dispatch thread to which all state is confined, and traffic threads for its
+ * connections. Thread-safe: the returned futures may complete on any thread.
  */
 public final class EntryNode implements AutoCloseable {
   private static final Logger LOG = Logger.getLogger(EntryNode.class);
@@ -48,8 +48,11 @@
   private static final long REPORT_TIMEOUT_MS = 3_000;
   private static final long SETTLE_POLL_MS = 20;
 
-  /** How long the health check fails before new work is refused: the balancer has to notice. */
-  private static final long BALANCER_GRACE_MS = 1_000;
+  /**
+   * How long the health check fails before new work is refused, so that the load balancer can stop
+   * sending callers first.
+   */
+  private static final long LOAD_BALANCER_GRACE_MS = 1_000;
 
   private final NodeSection node;
   private final EntrySection settings;
@@ -58,15 +61,15 @@
   private final Dispatcher dispatcher;
   private final ControlSession session;
   private final AgentLinks links;
-  private final JobDesk jobs;
+  private final JobManager jobs;
   private final Map<Long, CompletableFuture<Answer>> requests = new HashMap<>();
   private final InboxLoop<Runnable> loop;
   private long nextRequestId;
   private boolean hadLease;
-  private final SleepDetector sleepWatch = SleepDetector.create();
+  private final SleepDetector sleepDetector = SleepDetector.create();
   private volatile boolean ready;
-  private volatile boolean leaving;
-  private volatile boolean refusing;
+  private volatile boolean stopRequested;
+  private volatile boolean refusingNewWork;
   private volatile boolean settled;
   private volatile int waitingCount;
   private volatile int inFlightCount;
@@ -101,12 +104,12 @@
             new SessionListener(),
             dispatcher::ownedJobIds);
     this.jobs =
-        new JobDesk(
+        new JobManager(
             node.nodeId(), dispatcher, control, loop::add, this::carryOut, session::incarnation);
     addGauges();
   }
 
-  /** Starts an entry. It takes work once it has a lease. */
+  /** Starts an entry. It accepts work once it holds a lease. */
   public static EntryNode start(
       NodeSection node,
       EntrySection settings,
@@ -123,17 +126,21 @@
   }
 
   private void addGauges() {
-    metrics.addGauge("hingehoist_waiting_tasks", "Work held back here.", () -> waitingCount);
-    metrics.addGauge("hingehoist_in_flight_tasks", "Work sent to agents.", () -> inFlightCount);
     metrics.addGauge(
-        "hingehoist_usable_workers", "Workers that take work from here.", () -> usableWorkers);
+        "hingehoist_waiting_tasks", "Work that waits in this entry.", () -> waitingCount);
+    metrics.addGauge(
+        "hingehoist_in_flight_tasks", "Work sent to agents and not finished.", () -> inFlightCount);
+    metrics.addGauge(
+        "hingehoist_usable_workers",
+        "Workers that accept work from this entry.",
+        () -> usableWorkers);
     metrics.addGauge(
         "hingehoist_settings_revision",
-        "Revision of the settings in force here.",
+        "Revision of the settings in force in this entry.",
         () -> settingsView.revision());
   }
 
-  // The dispatch thread.
+  // Methods called on the dispatch thread.
 
   private void onBatch(List<Runnable> events, long nowMs) {
     checkSleep();
@@ -141,13 +148,16 @@
     onTick(nowMs);
   }
 
-  /** After a sleep only a heartbeat that was sent since brings a lease. */
+  /**
+   * Drops the lease if this box may have been suspended. After that, only a heartbeat sent since
+   * can renew it.
+   */
   private void checkSleep() {
-    long sleptMs = sleepWatch.sleptMs();
+    long sleptMs = sleepDetector.sleptMs();
     if (sleptMs > 0) {
       LOG.infof("event=mayHaveSlept entry=%s ms=%d", node.nodeId(), sleptMs);
       dispatcher.dropLease();
-      session.noteSleep();
+      session.recordSleep();
     }
   }
 
@@ -159,7 +169,7 @@
       hadLease = hasLease;
       LOG.infof("event=%s entry=%s", hasLease ? "leaseGained" : "leaseLost", node.nodeId());
     }
-    ready = hasLease && !leaving;
+    ready = hasLease && !stopRequested;
     settled = dispatcher.isSettled() && jobs.isSettled() && requests.isEmpty();
     waitingCount = dispatcher.waitingCount();
     inFlightCount = dispatcher.inFlightCount();
@@ -185,8 +195,8 @@
 
   private final class AgentListener implements AgentLinks.Listener {
     @Override
-    public void onStatus(AgentStatus status, boolean opens) {
-      carryOut(dispatcher.onAgentStatus(status, opens, nowMs()));
+    public void onStatus(AgentStatus status, boolean isNewConnection) {
+      carryOut(dispatcher.onAgentStatus(status, isNewConnection, nowMs()));
     }
 
     @Override
@@ -211,12 +221,12 @@
     @Override
     public void onMembers(MembersUpdate members) {
       carryOut(dispatcher.onMembers(members.agents(), nowMs()));
-      links.follow(members.agents());
+      links.updateAgents(members.agents());
     }
 
     @Override
-    public void onLease(long untilMs, long floorMs) {
-      carryOut(dispatcher.onLease(untilMs, floorMs, nowMs()));
+    public void onLease(long expiresAtMs, long floorMs) {
+      carryOut(dispatcher.onLease(expiresAtMs, floorMs, nowMs()));
     }
 
     @Override
@@ -231,14 +241,14 @@
     }
   }
 
-  // For the HTTP threads.
+  // Methods called on HTTP threads.
 
-  /** Returns whether the balancer should send callers here. */
+  /** Returns whether the load balancer should send callers to this entry. */
   public boolean isReady() {
     return ready;
   }
 
-  /** Returns the revision of the settings in force here. */
+  /** Returns the revision of the settings in force in this process. */
   public long settingsRevision() {
     return settingsView.revision();
   }
@@ -248,7 +258,7 @@
     return settings;
   }
 
-  /** Returns the policy in force here for a service and job class. */
+  /** Returns the policy in force for a service and job class in the zone of this entry. */
   public ServicePolicy policyFor(String service, String jobClass) {
     return settingsView.policyAt(SettingsPath.of(service, jobClass, node.zone()));
   }
@@ -256,13 +266,13 @@
   /**
    * Submits a job.
    *
-   * @param wait whether to wait for the final answer, or only for the admission
+   * @param wait true to wait for the final answer, false to wait for the admission only
    */
   public CompletableFuture<Answer> submitJob(JobSubmission submission, boolean wait) {
     CompletableFuture<Answer> answer = new CompletableFuture<>();
     loop.add(
         () -> {
-          LocalJob job = jobs.submit(submission, refusing, nowMs());
+          LocalJob job = jobs.submit(submission, refusingNewWork, nowMs());
           (wait ? job.ended() : job.admitted()).thenAccept(answer::complete);
         });
     return answer;
@@ -279,7 +289,7 @@
     long now = nowMs();
     long deadlineMs = now + submission.deadlineAtMs() - System.currentTimeMillis();
     Optional<RequestOutcome.Refused> refusal =
-        refusing
+        refusingNewWork
             ? Optional.of(Refusals.stopping())
             : dispatcher.refusalOf(submission.service(), submission.jobClass(), 1, deadlineMs, now);
     if (refusal.isPresent()) {
@@ -299,37 +309,38 @@
     carryOut(dispatcher.onRequest(spec, now));
   }
 
-  /** Returns what is known of a submission, after waiting up to a time for its end. */
+  /** Returns the state of a submission, after waiting up to {@code waitMs} for its outcome. */
   public CompletableFuture<Answer> findJob(String caller, String submissionId, long waitMs) {
     return jobs.find(caller, submissionId, waitMs);
   }
 
-  /** Returns a report of the control replicas, as JSON. */
+  /** Returns a report of the control replicas as JSON. */
   public CompletableFuture<String> report(String report, String argument) {
     return control
         .query(new GetReport(report, argument), REPORT_TIMEOUT_MS)
         .thenApply(answer -> ((Report) answer).json());
   }
 
-  /** Proposes an operator's command until it is known to be applied. */
+  /** Proposes an operator's command, and retries until it is known to be applied. */
   public CompletableFuture<CommandResult> propose(Command command) {
     return control.propose(command);
   }
 
   /**
-   * Stops as planned: fails the health check, then refuses new work, then waits until every caller
-   * has an answer, and leaves what remains to other entries.
+   * Performs a planned stop. It fails the health check, then refuses new work, then waits until
+   * every caller has an answer, and hands the remaining jobs over to other entries.
    *
-   * @return whether everything was settled in time
+   * @return whether all work was settled before the time-out
    */
   public boolean stop() {
-    leaving = true;
+    stopRequested = true;
     ready = false;
     LOG.infof("event=entryLeaving entry=%s", node.nodeId());
-    pauseMs(BALANCER_GRACE_MS);
-    refusing = true;
+    pauseMs(LOAD_BALANCER_GRACE_MS);
+    refusingNewWork = true;
     long giveUpAtMs = nowMs() + settings.stopTimeoutMs();
-    // One whole turn of the dispatch thread must have seen the refusal before "settled" counts.
+    // "settled" is valid only after the dispatch thread has run a full iteration with
+    // refusingNewWork set.
     pauseMs(4 * POLL_MS);
     while (!settled && nowMs() < giveUpAtMs) {
       pauseMs(SETTLE_POLL_MS);
@@ -340,16 +351,19 @@
     return clean;
   }
 
-  /** Nothing may start under this incarnation once the log says that it has ended. */
+  /**
+   * Ends the incarnation of this entry. All jobs are abandoned first, because nothing may start
+   * under an incarnation once the replicated log records its end.
+   */
   private void endIncarnation() {
-    CompletableFuture<Void> abandoned = new CompletableFuture<>();
+    CompletableFuture<Void> jobsAbandoned = new CompletableFuture<>();
     loop.add(
         () -> {
           session.end();
           carryOut(dispatcher.onIncarnationEnded());
-          abandoned.complete(null);
+          jobsAbandoned.complete(null);
         });
-    abandoned.join();
+    jobsAbandoned.join();
     CompletableFuture<CommandResult> ended =
         control.propose(new EndEntry(node.nodeId(), session.incarnation(), "planned stop"));
     ended.completeOnTimeout(null, REPORT_TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
--- a/daemon/src/main/java/io/hingehoist/entry/JobDesk.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobManager.java
@@ -34,16 +34,16 @@
 import java.util.function.Consumer;
 
 /**
- * Takes submissions of jobs from refusal or admission to their final answer. Owned by the dispatch
- * thread; the futures that it returns complete on any thread.
+ * Handles job submissions from refusal or admission to the final answer. Not thread-safe: confined
+ * to the dispatch thread. The returned futures may complete on any thread.
  */
-final class JobDesk {
-  /** How long after its deadline the answer of a job may take to be committed. */
+final class JobManager {
+  /** Time allowed after a job's deadline for its outcome to be committed. */
   private static final long ANSWER_GRACE_MS = 2_000;
 
   private static final long FIND_WAIT_MS = 5_000;
-  private static final long FIND_MARGIN_MS = 1_500;
-  private static final long ADMIT_AGAIN_MS = 100;
+  private static final long QUERY_MARGIN_MS = 1_500;
+  private static final long ADMISSION_RETRY_DELAY_MS = 100;
   private static final long RETRY_AFTER_MS = 1_000;
 
   private record Key(String caller, String submissionId) {}
@@ -56,9 +56,9 @@
   private final java.util.function.LongSupplier incarnation;
   private final Map<Key, LocalJob> byKey = new HashMap<>();
   private final Map<Long, LocalJob> byJobId = new HashMap<>();
-  private final Set<Long> adopting = new HashSet<>();
+  private final Set<Long> pendingAdoptions = new HashSet<>();
 
-  JobDesk(
+  JobManager(
       String entryId,
       Dispatcher dispatcher,
       ControlClient control,
@@ -74,23 +74,24 @@
   }
 
   /**
-   * Takes a submission.
+   * Submits a job, or returns the existing one if this entry is already handling the same
+   * submission.
    *
-   * @param refuseAll whether new work is refused, as before a planned stop
+   * @param refuseAll whether new work is refused, as it is before a planned stop
    */
   LocalJob submit(JobSubmission submission, boolean refuseAll, long nowMs) {
     Key key = new Key(submission.caller(), submission.submissionId());
-    LocalJob running = byKey.get(key);
-    if (running != null && running.submission().digest().equals(submission.digest())) {
-      return running;
+    LocalJob existing = byKey.get(key);
+    if (existing != null && existing.submission().digest().equals(submission.digest())) {
+      return existing;
     }
     LocalJob job = LocalJob.of(submission);
-    if (running == null) {
+    if (existing == null) {
       byKey.put(key, job);
       job.ended()
           .whenComplete((answer, failure) -> dispatchThread.execute(() -> byKey.remove(key, job)));
     }
-    giveUpInTime(job);
+    scheduleTimeout(job);
     Optional<RequestOutcome.Refused> refusal =
         refuseAll ? Optional.of(Refusals.stopping()) : refusalOf(submission, nowMs);
     if (refusal.isPresent()) {
@@ -101,9 +102,9 @@
     return job;
   }
 
-  private static void giveUpInTime(LocalJob job) {
+  private static void scheduleTimeout(LocalJob job) {
     long leftMs = job.submission().deadlineAtMs() - System.currentTimeMillis() + ANSWER_GRACE_MS;
-    Answer unknown = new Answer.Unknown("no outcome is known in time", RETRY_AFTER_MS);
+    Answer unknown = new Answer.Unknown("no outcome was known in time", RETRY_AFTER_MS);
     job.admitted().completeOnTimeout(unknown, Math.max(1, leftMs), TimeUnit.MILLISECONDS);
     job.ended().completeOnTimeout(unknown, Math.max(1, leftMs), TimeUnit.MILLISECONDS);
   }
@@ -121,15 +122,18 @@
     return nowMs + wallMs - System.currentTimeMillis();
   }
 
-  /** A resubmission must not hear "not run" of a job that was admitted before. */
+  /**
+   * Refuses a submission unless its job is already known. A resubmission must not be told "not run"
+   * about a job that was admitted before.
+   */
   private void refuseUnlessKnown(LocalJob job, RequestOutcome.Refused refusal) {
     JobSubmission submission = job.submission();
     control
-        .query(new FindJob(submission.caller(), submission.submissionId(), 0), FIND_MARGIN_MS)
+        .query(new FindJob(submission.caller(), submission.submissionId(), 0), QUERY_MARGIN_MS)
         .whenComplete(
             (answer, failure) -> {
               if (failure != null) {
-                job.end(new Answer.Unknown("no control replica leads", RETRY_AFTER_MS));
+                job.end(new Answer.Unknown("no control replica is the leader", RETRY_AFTER_MS));
               } else if (answer instanceof NoSuchJob) {
                 job.end(Refusals.toAnswer(refusal));
               } else {
@@ -167,29 +171,31 @@
   }
 
   private void onAdmission(LocalJob job, CommandResult result, long admittingIncarnation) {
-    // A job admitted under an incarnation that has ended since belongs to another owner.
+    // A job admitted under an incarnation that has since ended belongs to another owner.
     boolean owned = admittingIncarnation == incarnation.getAsLong();
     switch (result) {
       case Admitted admitted when owned -> start(job, admitted);
-      case Admitted admitted -> awaitElsewhere(job);
+      case Admitted admitted -> awaitRemoteOutcome(job);
       case Attached attached -> {
         job.admitted().complete(new Answer.Running(-1, job.submission().payloads().size()));
-        awaitElsewhere(job);
+        awaitRemoteOutcome(job);
       }
-      case AlreadyEnded already -> job.end(toAnswer(already.outcome()));
+      case AlreadyEnded ended -> job.end(toAnswer(ended.outcome()));
       case AdmissionRefused refused when refused.reason() == RefusalReason.ENTRY_NOT_LIVE ->
-          admitAgain(job);
+          retryAdmission(job);
       case AdmissionRefused refused -> job.end(Refusals.toAnswer(refused));
-      default -> throw new IllegalStateException("not an answer to an admission: " + result);
+      default -> throw new IllegalStateException("unexpected result of an admission: " + result);
     }
   }
 
   /**
-   * The incarnation ended while the admission was on its way, as after a freeze: nothing was
-   * admitted, and this entry is about to register anew. The caller's deadline bounds the tries.
+   * Retries an admission whose incarnation ended while the command was in flight, for example after
+   * the process was frozen. Nothing was admitted, and this entry is about to register again. The
+   * caller's deadline bounds the number of retries.
    */
-  private void admitAgain(LocalJob job) {
-    CompletableFuture.delayedExecutor(ADMIT_AGAIN_MS, TimeUnit.MILLISECONDS, dispatchThread)
+  private void retryAdmission(LocalJob job) {
+    CompletableFuture.delayedExecutor(
+            ADMISSION_RETRY_DELAY_MS, TimeUnit.MILLISECONDS, dispatchThread)
         .execute(
             () -> {
               if (!job.ended().isDone()) {
@@ -216,18 +222,18 @@
     effects.accept(dispatcher.onAdmitted(spec, now));
   }
 
-  /** Takes over a job whose owner has ended. */
+  /** Adopts a job whose owner has ended. */
   void adopt(OwnedJob owned) {
-    if (!adopting.add(owned.jobId())) {
+    if (!pendingAdoptions.add(owned.jobId())) {
       return;
     }
     control
-        .query(new GetJob(owned.jobId()), FIND_MARGIN_MS)
+        .query(new GetJob(owned.jobId()), QUERY_MARGIN_MS)
         .whenComplete(
             (answer, failure) ->
                 dispatchThread.execute(
                     () -> {
-                      adopting.remove(owned.jobId());
+                      pendingAdoptions.remove(owned.jobId());
                       if (answer instanceof JobRecord record) {
                         adopt(owned, record);
                       }
@@ -253,7 +259,7 @@
     effects.accept(dispatcher.onAdopted(spec, record.lostAgents(), now));
   }
 
-  /** Commits an outcome, and answers the callers once it is committed. */
+  /** Proposes an outcome, and answers the callers once it is committed. */
   void commit(DispatchEffect.CommitOutcome commit) {
     control
         .propose(new CompleteJob(commit.jobId(), commit.epoch(), commit.outcome()))
@@ -271,19 +277,19 @@
     }
     effects.accept(dispatcher.onOutcomeStale(commit.jobId()));
     if (job != null) {
-      awaitElsewhere(job);
+      awaitRemoteOutcome(job);
     }
   }
 
-  /** Leaves every job to its next owner; the callers here go on waiting for the outcome. */
+  /** Hands every job over to its next owner; callers of this entry keep waiting for the outcome. */
   void onIncarnationEnded() {
-    List<LocalJob> left = List.copyOf(byJobId.values());
+    List<LocalJob> unfinishedJobs = List.copyOf(byJobId.values());
     byJobId.clear();
-    left.forEach(this::awaitElsewhere);
+    unfinishedJobs.forEach(this::awaitRemoteOutcome);
   }
 
-  /** Waits for an outcome that another entry commits. */
-  private void awaitElsewhere(LocalJob job) {
+  /** Polls for an outcome that another entry commits. */
+  private void awaitRemoteOutcome(LocalJob job) {
     if (job.ended().isDone()) {
       return;
     }
@@ -291,26 +297,27 @@
     find(submission.caller(), submission.submissionId(), FIND_WAIT_MS)
         .whenComplete(
             (answer, failure) -> {
-              boolean open =
+              boolean unfinished =
                   failure != null
                       || answer instanceof Answer.Running
                       || answer instanceof Answer.Unknown;
-              if (open) {
+              if (unfinished) {
                 CompletableFuture.delayedExecutor(
-                        FIND_MARGIN_MS / 10, TimeUnit.MILLISECONDS, dispatchThread)
-                    .execute(() -> awaitElsewhere(job));
+                        QUERY_MARGIN_MS / 10, TimeUnit.MILLISECONDS, dispatchThread)
+                    .execute(() -> awaitRemoteOutcome(job));
               } else {
                 job.end(answer);
               }
             });
   }
 
-  /** Returns what is known of a submission, after waiting up to a time for its end. */
+  /** Returns the state of a submission, after waiting up to {@code waitMs} for its outcome. */
   CompletableFuture<Answer> find(String caller, String submissionId, long waitMs) {
     return control
-        .query(new FindJob(caller, submissionId, waitMs), waitMs + FIND_MARGIN_MS)
+        .query(new FindJob(caller, submissionId, waitMs), waitMs + QUERY_MARGIN_MS)
         .thenApplyAsync(this::toAnswer, dispatchThread)
-        .exceptionally(failure -> new Answer.Unknown("no control replica leads", RETRY_AFTER_MS));
+        .exceptionally(
+            failure -> new Answer.Unknown("no control replica is the leader", RETRY_AFTER_MS));
   }
 
   private Answer toAnswer(QueryAnswer answer) {
@@ -330,7 +337,7 @@
         : new Answer.Failed(outcome.reason());
   }
 
-  /** Returns whether every submission taken here has its final answer. */
+  /** Returns whether every submission accepted by this entry has its final answer. */
   boolean isSettled() {
     return byKey.isEmpty() && byJobId.isEmpty();
   }
--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -102,7 +102,8 @@
             Addresses.firstNonEmpty(settings.bindAddress(), settings.listenAddress()),
             AnnouncementHandler::new,
             metrics);
-    HttpServer.open(loop, settings.workerDoorAddress(), MAX_BODY_BYTES, adapter.workerDoor(this));
+    HttpServer.open(
+        loop, settings.workerDoorAddress(), MAX_BODY_BYTES, adapter.workerHandler(this));
   }
 
   /**
@@ -186,8 +187,9 @@
       case HostEffect.StopCall call ->
           workers.stop(call, loop.andFlush(answered -> onStopCompleted(call, answered)));
       case HostEffect.PollCall call ->
-          workers.hold(call, loop.andFlush(answer -> onPollCompleted(call, answer)));
-      case HostEffect.CloseConnections forget -> workers.forget(forget.address());
+          workers.poll(call, loop.andFlush(answer -> onPollCompleted(call, answer)));
+      case HostEffect.CloseConnections closeConnections ->
+          workers.closeConnections(closeConnections.address());
       case HostEffect.SendToOwner send -> owners.send(send.sessionId(), send.message());
       case HostEffect.CloseSession session -> owners.close(session.sessionId());
       case HostEffect.LogDecision logged -> log.write(logged.decision());
@@ -224,7 +226,7 @@
   // Messages of workers, owners and control replicas.
 
   @Override
-  public Optional<IgnoredHeartbeat> workerSeen(WorkerInfo info) {
+  public Optional<IgnoredHeartbeat> workerHeartbeat(WorkerInfo info) {
     String allowed = settings.workerService();
     if (!allowed.isEmpty() && !info.service().equals(allowed)) {
       String detail =
@@ -244,10 +246,10 @@
     metrics.countIgnoredHeartbeat(problem);
     boolean logged =
         loggedIgnored.size() < MAX_LOGGED_IGNORED
-            && loggedIgnored.add(heartbeat.writer() + ' ' + problem);
+            && loggedIgnored.add(heartbeat.sender() + ' ' + problem);
     if (logged) {
       String outcome = "problem=" + problem + ' ' + heartbeat.detail();
-      log.write("heartbeatIgnored", heartbeat.writer(), outcome);
+      log.write("heartbeatIgnored", heartbeat.sender(), outcome);
     }
   }
 
--- a/daemon/src/main/java/io/hingehoist/journal/Snapshots.java
+++ b/daemon/src/main/java/io/hingehoist/journal/Snapshots.java
@@ -12,26 +12,26 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Static helpers that keep snapshots as files, each one checksummed block. */
+/** Static helpers that store each snapshot as a file with one checksummed block. */
 final class Snapshots {
   private static final String SUFFIX = ".snapshot";
 
   private Snapshots() {}
 
   static void write(Path folder, LogSnapshot snapshot, Disk disk) throws IOException {
-    Bytes head = Bytes.encoded(0, packer -> encodeHead(snapshot, packer));
-    ByteBuffer block = Blocks.toBlock(List.of(head, snapshot.state()));
+    Bytes header = Bytes.encoded(0, packer -> encodeHeader(snapshot, packer));
+    ByteBuffer block = Blocks.toBlock(List.of(header, snapshot.state()));
     disk.writeAtomically(fileOf(folder, snapshot.lastIndex()), block);
   }
 
-  private static void encodeHead(LogSnapshot snapshot, org.msgpack.core.MessagePacker packer)
+  private static void encodeHeader(LogSnapshot snapshot, org.msgpack.core.MessagePacker packer)
       throws IOException {
     packer.packLong(snapshot.lastIndex());
     packer.packLong(snapshot.lastTerm());
     snapshot.voters().encode(packer);
   }
 
-  /** Returns the latest snapshot; the empty one if there is none. */
+  /** Returns the latest snapshot, or the empty snapshot if there is none. */
   static LogSnapshot readLatest(Path folder) throws IOException {
     List<Path> files = list(folder);
     if (files.isEmpty()) {
@@ -42,8 +42,8 @@
     if (parts.isEmpty() || parts.get().size() != 2) {
       throw DamageException.at(file, 0, "the checksum of the snapshot is wrong");
     }
-    Bytes head = parts.get().get(0);
-    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(head.toArray())) {
+    Bytes header = parts.get().get(0);
+    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(header.toArray())) {
       unpacker.unpackInt();
       return new LogSnapshot(
           unpacker.unpackLong(),
@@ -54,9 +54,9 @@
   }
 
   static void deleteBefore(Path folder, long index) throws IOException {
-    Path kept = fileOf(folder, index);
+    Path oldestKept = fileOf(folder, index);
     for (Path file : list(folder)) {
-      if (file.compareTo(kept) < 0) {
+      if (file.compareTo(oldestKept) < 0) {
         Files.delete(file);
       }
     }
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -133,7 +133,7 @@
             metrics,
             new HostListener());
     this.frontServer =
-        HttpServer.open(loop, settings.frontAddress(), MAX_BODY_BYTES, adapter.frontDoor(this));
+        HttpServer.open(loop, settings.frontAddress(), MAX_BODY_BYTES, adapter.callerHandler(this));
     if (!settings.readyAddress().isEmpty()) {
       HttpServer.open(loop, settings.readyAddress(), MAX_READY_BODY_BYTES, this::answerReady);
     }
@@ -289,7 +289,7 @@
   }
 
   @Override
-  public boolean refuses(JobPlan plan) {
+  public boolean stopsTooSoonFor(JobPlan plan) {
     double neededMs = STOP_TIME_FACTOR * plan.objectiveMs();
     return stop.hasBegun() && stop.remainingMs(EventLoop.nowMs()) < neededMs;
   }
@@ -305,7 +305,7 @@
   }
 
   @Override
-  public void leave(String jobId, Waiter waiter) {
+  public void removeWaiter(String jobId, Waiter waiter) {
     if (waiters.remove(jobId, waiter)) {
       jobs.drop(jobId, "caller disconnected");
       loop.flushLater();
@@ -320,12 +320,12 @@
   }
 
   @Override
-  public boolean isHere(String jobId) {
+  public boolean hasJob(String jobId) {
     return acceptedAtMs.containsKey(jobId);
   }
 
   @Override
-  public long pendingCount(String queue) {
+  public long unstartedJobCount(String queue) {
     return jobs.unstartedJobCount(queue);
   }
 
--- a/daemon/src/main/java/io/hingehoist/quorum/LocalOrders.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/LocalOrders.java
@@ -1,6 +1,6 @@
 package io.hingehoist.quorum;
 
-import io.hingehoist.adapter.OperatorOrders;
+import io.hingehoist.adapter.OperatorCommands;
 import io.hingehoist.command.ChangeZone;
 import io.hingehoist.command.CommandResult;
 import io.hingehoist.command.DocumentAccepted;
@@ -30,7 +30,7 @@
  * Submits operators' orders to the replica of this process. Not thread-safe: confined to the event
  * loop.
  */
-public final class LocalOrders implements OperatorOrders {
+public final class LocalOrders implements OperatorCommands {
   private static final long TIMEOUT_MS = 2_500;
 
   /** The operator in the audit trail, as the platform's interface does not identify operators. */
@@ -108,7 +108,7 @@
     return switch (status) {
       case OK -> decode(response);
       case NOT_LEADER ->
-          new Result.Elsewhere(leader.isEmpty() ? Optional.empty() : Optional.of(leader));
+          new Result.NotLeader(leader.isEmpty() ? Optional.empty() : Optional.of(leader));
       case UNAVAILABLE, INVALID -> new Result.Unknown();
     };
   }
--- a/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
+++ b/daemon/src/test/java/io/hingehoist/journal/JournalTest.java
@@ -49,7 +49,7 @@
     }
   }
 
-  private DurableState recovered() throws IOException {
+  private DurableState readState() throws IOException {
     try (Journal journal = open()) {
       return journal.recovered();
     }
@@ -60,21 +60,21 @@
   }
 
   @Test
-  public void whatWasSyncedIsReadBack() throws IOException {
+  public void syncedStepsAreReadBack() throws IOException {
     try (Journal journal = open()) {
       journal.addVote(3, "candidate");
       journal.addEntries(List.of(entry(1), entry(2), entry(3)));
       journal.addTruncation(3);
       journal.sync();
     }
-    DurableState state = recovered();
+    DurableState state = readState();
     assertEquals(state.term(), 3);
     assertEquals(state.votedFor(), "candidate");
     assertEquals(state.entries(), List.of(entry(1), entry(2)));
   }
 
   @Test
-  public void theIdentityLivesAndDiesWithTheDisk() throws IOException {
+  public void identityIsKeptInItsFolderAndNewInAnother() throws IOException {
     Identity first = open().identity();
     assertEquals(open().identity(), first);
     folder = Files.createTempDirectory("journal");
@@ -82,56 +82,56 @@
   }
 
   @Test
-  public void aTornTailIsCutBack() throws IOException {
+  public void tornTailIsTruncated() throws IOException {
     writeEntries(3);
-    long whole = Files.size(segment());
-    for (int cut = 1; cut < 20; cut++) {
+    long untruncatedSize = Files.size(segment());
+    for (int missingBytes = 1; missingBytes < 20; missingBytes++) {
       try (FileChannel channel = FileChannel.open(segment(), StandardOpenOption.WRITE)) {
-        channel.truncate(whole - cut);
+        channel.truncate(untruncatedSize - missingBytes);
       }
-      assertEquals(recovered().entries(), List.of(entry(1), entry(2)));
-      writeThirdAgain();
+      assertEquals(readState().entries(), List.of(entry(1), entry(2)));
+      rewriteThirdEntry();
     }
   }
 
-  private void writeThirdAgain() throws IOException {
+  private void rewriteThirdEntry() throws IOException {
     try (Journal journal = open()) {
       journal.addEntries(List.of(entry(3)));
       journal.sync();
     }
-    assertEquals(recovered().entries().size(), 3);
+    assertEquals(readState().entries().size(), 3);
   }
 
   @Test
-  public void damageBeforeTheTailStopsTheStartAndNamesFileAndOffset() throws IOException {
+  public void damageBeforeTheTailFailsOpenWithFileAndOffset() throws IOException {
     writeEntries(3);
     ByteBuffer content = ByteBuffer.wrap(Files.readAllBytes(segment()));
     int secondBlock = Blocks.sizeAt(content, 0);
     content.put(secondBlock + 12, (byte) ~content.get(secondBlock + 12));
     Files.write(segment(), content.array());
-    String message = expectThrows(DamageException.class, this::recovered).getMessage();
+    String message = expectThrows(DamageException.class, this::readState).getMessage();
     assertTrue(message.contains(segment().toString()), message);
     assertTrue(message.contains("offset " + secondBlock), message);
   }
 
   @Test
-  public void aDamagedFirstBlockIsNotTakenForATornTail() throws IOException {
+  public void damagedFirstBlockIsNotTreatedAsATornTail() throws IOException {
     writeEntries(0);
     byte[] content = Files.readAllBytes(segment());
     content[content.length - 1]++;
     Files.write(segment(), content);
-    assertThrows(DamageException.class, this::recovered);
+    assertThrows(DamageException.class, this::readState);
   }
 
   @Test
-  public void anIdentityWithoutSegmentsStopsTheStart() throws IOException {
+  public void identityWithoutSegmentsFailsOpen() throws IOException {
     writeEntries(1);
     Files.delete(segment());
-    assertThrows(DamageException.class, this::recovered);
+    assertThrows(DamageException.class, this::readState);
   }
 
   @Test
-  public void aSnapshotStandsForWhatCameBefore() throws IOException {
+  public void snapshotReplacesTheEntriesItCovers() throws IOException {
     LogSnapshot snapshot =
         new LogSnapshot(2, 1, new ReplicaSet(List.of()), Bytes.copyOf(new byte[] {9}));
     try (Journal journal = open()) {
@@ -141,7 +141,7 @@
       journal.addEntries(List.of(entry(4)));
       journal.sync();
     }
-    DurableState state = recovered();
+    DurableState state = readState();
     assertEquals(state.snapshot(), snapshot);
     assertEquals(state.entries(), List.of(entry(3), entry(4)));
     assertEquals(state.term(), 4);
@@ -149,7 +149,7 @@
   }
 
   @Test
-  public void aDamagedSnapshotStopsTheStart() throws IOException {
+  public void damagedSnapshotFailsOpen() throws IOException {
     try (Journal journal = open()) {
       journal.addEntries(List.of(entry(1)));
       journal.sync();
@@ -161,21 +161,21 @@
     byte[] content = Files.readAllBytes(file);
     content[50]++;
     Files.write(file, content);
-    assertThrows(DamageException.class, this::recovered);
+    assertThrows(DamageException.class, this::readState);
   }
 
   @Test
-  public void aCrashBetweenSnapshotAndNewSegmentLosesNothing() throws IOException {
+  public void crashBetweenSnapshotAndNewSegmentLosesNothing() throws IOException {
     writeEntries(3);
     LogSnapshot snapshot =
         new LogSnapshot(2, 1, new ReplicaSet(List.of()), Bytes.copyOf(new byte[] {9}));
     Snapshots.write(folder, snapshot, Disk.real());
-    assertEquals(recovered().entries(), List.of(entry(3)));
+    assertEquals(readState().entries(), List.of(entry(3)));
   }
 
-  /** A disk that fails from a moment on, as a full or broken one does. */
+  /** A disk whose writes or syncs can be made to fail, as on a full or broken disk. */
   private static final class FailingDisk implements Disk {
-    private boolean full;
+    private boolean isFull;
     private boolean syncFails;
 
     @Override
@@ -184,7 +184,7 @@
       return new SyncedFile() {
         @Override
         public void append(ByteBuffer bytes) throws IOException {
-          if (full) {
+          if (isFull) {
             bytes.limit(bytes.remaining() / 2);
             file.append(bytes);
             throw new IOException("No space left on device");
@@ -209,19 +209,19 @@
   }
 
   @Test
-  public void aFullDiskIsAnErrorAndWhatWasSyncedBeforeStands() throws IOException {
+  public void fullDiskFailsSyncAndKeepsEarlierEntries() throws IOException {
     FailingDisk disk = new FailingDisk();
     Journal journal = Journal.open(folder, disk, Metrics.create());
     journal.addEntries(List.of(entry(1)));
     journal.sync();
-    disk.full = true;
+    disk.isFull = true;
     journal.addEntries(List.of(entry(2)));
     assertThrows(IOException.class, journal::sync);
-    assertEquals(recovered().entries(), List.of(entry(1)));
+    assertEquals(readState().entries(), List.of(entry(1)));
   }
 
   @Test
-  public void aFailingSyncIsAnError() throws IOException {
+  public void failedSyncThrows() throws IOException {
     FailingDisk disk = new FailingDisk();
     Journal journal = Journal.open(folder, disk, Metrics.create());
     disk.syncFails = true;
@@ -230,7 +230,7 @@
   }
 
   @Test
-  public void foundingTwiceIsRefused() throws IOException {
+  public void foundingASecondTimeFails() throws IOException {
     Journal.found(folder, Disk.real(), "c", "127.0.0.1:1", 1);
     assertThrows(
         IOException.class, () -> Journal.found(folder, Disk.real(), "d", "127.0.0.1:1", 1));
