--- a/core/src/main/java/io/hingehoist/run/host/AdaptiveTimeout.java
+++ b/core/src/main/java/io/hingehoist/run/host/AdaptiveTimeout.java
@@ -1,69 +1,71 @@
 package io.hingehoist.run.host;
 
 /**
- * How long a call to a worker may take before it counts as lost, learned from the answers seen, and
- * whether calls get lost now.
+ * Derives from observed response times how long a call to a worker may take before it counts as
+ * lost, and reports whether calls are currently being lost.
  *
- * <p>The smoothed mean and deviation of RFC 6298 (retransmission timer of TCP), with its doubling
- * after each loss until the next answer. Not thread-safe: {@link WorkerHost} owns it.
+ * <p>Uses the smoothed mean and deviation of RFC 6298 (the retransmission timer of TCP) with its
+ * doubling after each loss until the next response. Not thread-safe: confined to the event-loop
+ * thread.
  */
 final class AdaptiveTimeout {
   private static final double MEAN_WEIGHT = 0.125;
   private static final double DEVIATION_WEIGHT = 0.25;
   private static final int DEVIATIONS = 4;
 
-  /** Until an answer has come: half of the longest. */
-  private static final long FIRST_MS = 60;
+  /** Applies until the first response; half of the maximum. */
+  private static final long INITIAL_TIMEOUT_MS = 60;
 
   /**
-   * A worker on the same box answers in about 1 ms; a shorter time would take its pauses for
+   * A worker on the same box responds in about 1 ms; a lower minimum would count its pauses as
    * losses.
    */
-  private static final long MIN_MS = 20;
+  private static final long MIN_TIMEOUT_MS = 20;
 
   /**
-   * The most urgent jobs have some 200 ms in all: an order that is lost later than this is late.
+   * The most urgent jobs have some 200 ms in total; a lost call that is detected later than this
+   * makes the job late.
    */
-  private static final long MAX_MS = 120;
+  private static final long MAX_TIMEOUT_MS = 120;
 
-  /** After two lost calls, for how long others are expected. */
-  private static final long LOSSY_FOR_MS = 2_000;
+  /** How long further losses are expected after two lost calls. */
+  private static final long LOSSY_PERIOD_MS = 2_000;
 
   private double meanMs = -1;
   private double deviationMs;
-  private int lossesInARow;
-  private long lostAtMs = -LOSSY_FOR_MS;
-  private long lostBeforeAtMs = -LOSSY_FOR_MS;
+  private int consecutiveLosses;
+  private long lastLossAtMs = -LOSSY_PERIOD_MS;
+  private long previousLossAtMs = -LOSSY_PERIOD_MS;
 
-  /** Notes an answer, and how long it took. */
-  void recordResponse(long tookMs) {
-    lossesInARow = 0;
+  /** Records a response and the time it took. */
+  void recordResponse(long responseTimeMs) {
+    consecutiveLosses = 0;
     if (meanMs < 0) {
-      meanMs = tookMs;
-      deviationMs = tookMs / 2.0;
+      meanMs = responseTimeMs;
+      deviationMs = responseTimeMs / 2.0;
       return;
     }
-    deviationMs += DEVIATION_WEIGHT * (Math.abs(meanMs - tookMs) - deviationMs);
-    meanMs += MEAN_WEIGHT * (tookMs - meanMs);
+    deviationMs += DEVIATION_WEIGHT * (Math.abs(meanMs - responseTimeMs) - deviationMs);
+    meanMs += MEAN_WEIGHT * (responseTimeMs - meanMs);
   }
 
-  /** Notes that a call got no answer. */
+  /** Records that a call got no response. */
   void recordLoss(long nowMs) {
-    lossesInARow++;
-    lostBeforeAtMs = lostAtMs;
-    lostAtMs = nowMs;
+    consecutiveLosses++;
+    previousLossAtMs = lastLossAtMs;
+    lastLossAtMs = nowMs;
   }
 
-  /** Returns whether two calls were lost a moment ago: one may just have been slow. */
+  /** Returns whether two calls were lost recently. A single lost call may just have been slow. */
   boolean isLossy(long nowMs) {
-    return nowMs - lostBeforeAtMs < LOSSY_FOR_MS;
+    return nowMs - previousLossAtMs < LOSSY_PERIOD_MS;
   }
 
-  /** Returns the time after which a call that is sent now counts as lost. */
+  /** Returns the time after which a call sent now counts as lost. */
   long timeoutMs() {
-    double learnedMs = meanMs < 0 ? FIRST_MS : meanMs + DEVIATIONS * deviationMs;
-    double startMs = Math.max(MIN_MS, learnedMs);
-    double backedOffMs = startMs * (1L << Math.min(lossesInARow, 4));
-    return (long) Math.min(MAX_MS, backedOffMs);
+    double estimatedMs = meanMs < 0 ? INITIAL_TIMEOUT_MS : meanMs + DEVIATIONS * deviationMs;
+    double baseMs = Math.max(MIN_TIMEOUT_MS, estimatedMs);
+    double backedOffMs = baseMs * (1L << Math.min(consecutiveLosses, 4));
+    return (long) Math.min(MAX_TIMEOUT_MS, backedOffMs);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/CrashLog.java
+++ b/core/src/main/java/io/hingehoist/run/host/CrashLog.java
@@ -7,34 +7,36 @@
 import java.util.List;
 
 /**
- * The tasks that were at this host's worker when it crashed, each time, lately. Kept here, the
- * evidence outlives the owners of those tasks. Owned by {@link WorkerHost}.
+ * Records the recent crashes of this host's workers with the tasks that were running at the time.
+ *
+ * <p>The records are kept at the host so that they survive the failure of the owners of those
+ * tasks. Not thread-safe: confined to the event-loop thread.
  */
 final class CrashLog {
-  /** Far longer than callers bring the same job again. */
+  /** Far longer than callers go on resubmitting the same job. */
   private static final long RETENTION_MS = 60_000;
 
   private static final int MAX_CRASHES = 16;
 
-  private record Crash(String workerId, long atMs, boolean again, List<String> tasks) {
+  private record Crash(String workerId, long crashedAtMs, boolean again, List<String> tasks) {
     private WorkerCrashed toMessage(long nowMs) {
-      return new WorkerCrashed(workerId, nowMs - atMs, again, tasks);
+      return new WorkerCrashed(workerId, nowMs - crashedAtMs, again, tasks);
     }
   }
 
   private final Deque<Crash> newestFirst = new ArrayDeque<>();
 
   /**
-   * Notes a crash, and returns what owners are to be told of it.
+   * Adds a crash and returns the message that reports it to owners.
    *
-   * @param atMs when it happened, as far as is known
+   * @param crashedAtMs the time of the crash, as far as known
    */
-  WorkerCrashed add(WorkerInstance instance, long atMs, long nowMs) {
-    forgetOld(nowMs);
+  WorkerCrashed add(WorkerInstance instance, long crashedAtMs, long nowMs) {
+    removeExpired(nowMs);
     List<String> tasks = instance.runs().stream().map(run -> run.run.task()).distinct().toList();
     boolean again =
         !newestFirst.isEmpty() && Collections.disjoint(newestFirst.getFirst().tasks(), tasks);
-    Crash crash = new Crash(instance.id(), atMs, again, tasks);
+    Crash crash = new Crash(instance.id(), crashedAtMs, again, tasks);
     newestFirst.addFirst(crash);
     if (newestFirst.size() > MAX_CRASHES) {
       newestFirst.removeLast();
@@ -42,13 +44,13 @@
     return crash.toMessage(nowMs);
   }
 
-  /** Returns what an owner is to be told that was not here to hear it. */
+  /** Returns the messages for an owner that had no session when the crashes were reported. */
   List<WorkerCrashed> recent(long nowMs) {
-    forgetOld(nowMs);
+    removeExpired(nowMs);
     return newestFirst.stream().map(crash -> crash.toMessage(nowMs)).toList();
   }
 
-  private void forgetOld(long nowMs) {
-    newestFirst.removeIf(crash -> nowMs - crash.atMs() >= RETENTION_MS);
+  private void removeExpired(long nowMs) {
+    newestFirst.removeIf(crash -> nowMs - crash.crashedAtMs() >= RETENTION_MS);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/ExponentialBackoff.java
+++ b/core/src/main/java/io/hingehoist/run/host/ExponentialBackoff.java
@@ -1,30 +1,33 @@
 package io.hingehoist.run.host;
 
-/** A pause that may be made longer for the next time, up to a bound. Not thread-safe. */
+/**
+ * Tracks a pause whose length doubles on request, up to a maximum. Not thread-safe: confined to the
+ * event-loop thread.
+ */
 final class ExponentialBackoff {
   private final long initialMs;
   private final long maxMs;
-  private long delayMs;
+  private long pauseMs;
   private long endsAtMs;
 
   ExponentialBackoff(long initialMs, long maxMs) {
     this.initialMs = initialMs;
     this.maxMs = maxMs;
-    this.delayMs = initialMs;
+    this.pauseMs = initialMs;
   }
 
   void start(long nowMs) {
-    endsAtMs = nowMs + delayMs;
+    endsAtMs = nowMs + pauseMs;
   }
 
   /** Doubles the length of the next pause. */
   void increase() {
-    delayMs = Math.min(maxMs, 2 * delayMs);
+    pauseMs = Math.min(maxMs, 2 * pauseMs);
   }
 
-  /** Ends the pause, and begins with the first length again. */
+  /** Ends the pause and restores the initial length. */
   void reset() {
-    delayMs = initialMs;
+    pauseMs = initialMs;
     endsAtMs = 0;
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/FailureBackoff.java
+++ b/core/src/main/java/io/hingehoist/run/host/FailureBackoff.java
@@ -1,23 +1,24 @@
 package io.hingehoist.run.host;
 
 /**
- * Says when a worker fails what it runs, while its health seems good: after some failures in a row
- * it takes nothing for a time, which doubles until a run ends well. Not thread-safe.
+ * Detects a worker whose runs fail although it reports good health. After several consecutive
+ * failures the worker counts as failing for a pause, which doubles until a run succeeds. Not
+ * thread-safe: confined to the event-loop thread.
  */
 final class FailureBackoff {
   private static final int FAILURES_BEFORE_PAUSE = 3;
-  private static final long FIRST_PAUSE_MS = 1_000;
+  private static final long INITIAL_PAUSE_MS = 1_000;
   private static final long MAX_PAUSE_MS = 4_000;
 
   private int consecutiveFailures;
-  private final ExponentialBackoff pause = new ExponentialBackoff(FIRST_PAUSE_MS, MAX_PAUSE_MS);
+  private final ExponentialBackoff pause = new ExponentialBackoff(INITIAL_PAUSE_MS, MAX_PAUSE_MS);
 
   void recordSuccess() {
     consecutiveFailures = 0;
     pause.reset();
   }
 
-  /** Notes a failed run; returns whether a pause begins with it. */
+  /** Records a failed run; returns whether it starts a pause. */
   boolean recordFailure(long nowMs) {
     consecutiveFailures++;
     if (consecutiveFailures < FAILURES_BEFORE_PAUSE || pause.isActive(nowMs)) {
@@ -33,8 +34,8 @@
   }
 
   /**
-   * Returns whether the last runs failed, so that a few are enough to see whether the worker is
-   * well.
+   * Returns whether the worker is on trial: its last runs failed, and a few runs are enough to find
+   * out whether it works again.
    */
   boolean isOnTrial() {
     return consecutiveFailures >= FAILURES_BEFORE_PAUSE;
--- a/core/src/main/java/io/hingehoist/run/host/FencingToken.java
+++ b/core/src/main/java/io/hingehoist/run/host/FencingToken.java
@@ -1,14 +1,19 @@
 package io.hingehoist.run.host;
 
 /**
- * The number by which a worker tells a newer host from an older one. A worker that has seen a
- * higher one refuses; the token then rises in growing steps until it is the highest. Owned by
- * {@link WorkerHost}.
+ * Holds the fencing token by which a worker tells a newer host process from an older one.
+ *
+ * <p>A worker that has seen a higher token refuses calls; the token is then raised in increments
+ * that double each time, until it is the highest. Not thread-safe: confined to the event-loop
+ * thread.
  */
 final class FencingToken {
   private static final long INITIAL_INCREMENT = 1_000;
 
-  /** Far above the difference of two tokens that begin as times; smaller ones never overflow. */
+  /**
+   * Far above the difference of two tokens that are initialized from clocks, and small enough that
+   * the sum does not overflow.
+   */
   private static final long MAX_INCREMENT = 1L << 40;
 
   private long value;
--- a/core/src/main/java/io/hingehoist/run/host/FreedRoomAllocator.java
+++ b/core/src/main/java/io/hingehoist/run/host/FreedRoomAllocator.java
@@ -3,8 +3,11 @@
 import io.hingehoist.message.Room;
 
 /**
- * Gives room that becomes free at a full worker to the owner whose work comes first, for a moment:
- * without that it goes to the owner that happens to look first. Owned by {@link WorkerHost}.
+ * Reserves room that becomes free at a full worker for the owner with the most urgent waiting
+ * tasks.
+ *
+ * <p>Without the short reservation the room would go to whichever owner sends an order first. Not
+ * thread-safe: confined to the event-loop thread.
  */
 final class FreedRoomAllocator {
   private final OwnerSessions sessions;
@@ -13,7 +16,7 @@
     this.sessions = sessions;
   }
 
-  /** Keeps freed room for the owner whose work comes first, if any waits. */
+  /** Reserves freed room for the owner with the most urgent waiting tasks, if there is one. */
   void reserve(WorkerInstance instance, Room room, long nowMs) {
     String service = instance.info().service();
     sessions
@@ -25,13 +28,13 @@
             });
   }
 
-  /** Offers room again that an owner made no use of. */
+  /** Reserves room again whose reservation expired without being used. */
   void reassignExpired(WorkerInstance instance, long nowMs) {
-    for (RoomReservations.Expired unused : instance.reservations.removeExpired(nowMs)) {
+    for (RoomReservations.Expired expired : instance.reservations.removeExpired(nowMs)) {
       sessions
-          .find(unused.sessionId())
+          .find(expired.sessionId())
           .ifPresent(session -> session.clearWaitingTasks(instance.info().service()));
-      reserve(instance, unused.room(), nowMs);
+      reserve(instance, expired.room(), nowMs);
     }
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/HostEffect.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostEffect.java
@@ -4,15 +4,18 @@
 import io.hingehoist.message.RunRef;
 import io.hingehoist.run.Decision;
 
-/** Something that a {@link WorkerHost} asks its surroundings to do, in order. */
+/**
+ * An action that a {@link WorkerHost} requests from its environment. Effects are carried out in
+ * order.
+ */
 public sealed interface HostEffect {
 
   /**
-   * Orders a run at a worker, by its name and that of the life that is meant; the answer comes back
-   * by {@link WorkerHost#startCallCompleted}.
+   * Starts a run at a worker. The result is passed to {@link WorkerHost#startCallCompleted}.
    *
+   * @param instanceId the worker instance that the call is for
    * @param deadlineMs the end of the worker's lease, by the worker's clock
-   * @param patience when the call counts as lost
+   * @param options when the call counts as lost
    */
   record StartCall(
       String instanceId,
@@ -26,9 +29,9 @@
       implements HostEffect {}
 
   /**
-   * Stops a run at a worker; the answer comes back by {@link WorkerHost#stopCallCompleted}.
+   * Stops a run at a worker. The result is passed to {@link WorkerHost#stopCallCompleted}.
    *
-   * @param patience when the call counts as lost
+   * @param options when the call counts as lost
    */
   record StopCall(
       String instanceId,
@@ -40,13 +43,13 @@
       implements HostEffect {}
 
   /**
-   * Renews the lease of a worker and asks for its runs; the answer comes back by {@link
-   * WorkerHost#pollCallCompleted}.
+   * Renews the lease of a worker and polls the list of its runs (a long poll, {@code hold} in the
+   * worker's HTTP interface). The result is passed to {@link WorkerHost#pollCallCompleted}.
    *
-   * @param deadlineMs the end of the lease, by the worker's clock; 0 leaves it as it is
-   * @param lastSeen the number up to which ends are taken note of
-   * @param waitMs the time that the worker may wait for an end
-   * @param patience when the call counts as lost, the wait included
+   * @param deadlineMs the end of the lease, by the worker's clock; 0 leaves the lease unchanged
+   * @param lastSeen the number of the last end that the host has processed
+   * @param waitMs how long the worker may delay the response until a run ends
+   * @param options when the call counts as lost; the time-out includes {@code waitMs}
    */
   record PollCall(
       String instanceId,
@@ -60,14 +63,15 @@
       implements HostEffect {}
 
   /**
-   * When a call counts as lost.
+   * The options of a call to a worker.
    *
-   * @param timeoutMs the time for its answer
-   * @param freshConnection whether kept connections are passed over: they may have fallen silent
+   * @param timeoutMs the time after which the call counts as lost
+   * @param freshConnection whether to open a new connection instead of reusing an idle one, which
+   *     may be broken without notice
    */
   record CallOptions(long timeoutMs, boolean freshConnection) {}
 
-  /** Closes the connections to an address that no worker uses any more. */
+  /** Closes the connections to an address that no worker uses any longer. */
   record CloseConnections(String address) implements HostEffect {}
 
   /** Sends a message to an owner. */
--- a/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Gathers, in order, what a host asks its surroundings to do. Owned by {@link WorkerHost}. */
+/** Collects the effects of a host in order. Not thread-safe: confined to the event-loop thread. */
 final class HostOutbox {
   private final OwnerSessions sessions;
   private final List<HostEffect> effects = new ArrayList<>();
@@ -19,7 +19,7 @@
     effects.add(effect);
   }
 
-  /** Sends a message to the owner of a session, if the session is open. */
+  /** Sends a message to the owner of a session if the session is open. */
   void send(long sessionId, Message message) {
     if (sessions.isOpen(sessionId)) {
       effects.add(new HostEffect.SendToOwner(sessionId, message));
@@ -34,18 +34,18 @@
   /**
    * Writes a decision to the log.
    *
-   * @param task the task that it is about; empty if it is about none
-   * @param where the worker, owner or process that it is about
+   * @param task the task that the decision concerns; empty if there is none
+   * @param where the worker, owner or process that the decision concerns
    */
   void logDecision(String event, String task, String where, String outcome) {
     String job = task.isEmpty() ? "" : TaskNames.jobOf(task);
     effects.add(new HostEffect.LogDecision(new Decision(event, job, task, where, outcome)));
   }
 
-  /** Returns the effects since the last call. */
+  /** Returns and removes the effects added since the last call. */
   List<HostEffect> drain() {
-    List<HostEffect> taken = List.copyOf(effects);
+    List<HostEffect> drained = List.copyOf(effects);
     effects.clear();
-    return taken;
+    return drained;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/HostedRun.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostedRun.java
@@ -4,16 +4,19 @@
 import io.hingehoist.message.RunRef;
 import io.hingehoist.message.StartRuns;
 
-/** One run at a worker, from its order until it is provably over. Owned by {@link WorkerHost}. */
+/**
+ * A run at a worker, from its start order until it is provably over. Not thread-safe: confined to
+ * the event-loop thread.
+ */
 final class HostedRun {
   enum State {
-    /** The order has no answer yet. */
+    /** The start call has no response yet. */
     ORDERED,
-    /** The worker runs it. */
+    /** The worker has confirmed the start. */
     RUNNING,
-    /** A stop was ordered, and the end is not listed yet. */
+    /** A stop call was sent, and the worker has not listed the end yet. */
     STOPPING,
-    /** The stop was answered; the next list shows whether anything is there. */
+    /** The worker has confirmed the stop; the next list shows whether the run still exists. */
     STOPPED
   }
 
@@ -26,21 +29,25 @@
   long orderedAtMs;
   long stopSentAtMs;
 
-  /** When the last call about it was sent, and how many in a row had no answer. */
+  /** When the last start or stop call was sent. */
   long lastCallAtMs;
 
+  /** The number of consecutive calls without a response. */
   int unansweredCalls;
 
-  /** How many of its start calls, in all, had no answer: each may have been carried out. */
+  /** The total number of start calls without a response; each may have been carried out. */
   int unansweredStarts;
 
-  /** When the deadlines of all its start calls have passed, so that none can be carried out. */
+  /** When the deadlines of all start calls have passed, so that none can still be carried out. */
   long startCallsExpireAtMs;
 
-  /** Whether the answer of a stop is yet to come. */
+  /** Whether a stop call is waiting for its response. */
   boolean stopPending;
 
-  /** When others take it for over; the latest time there is while it may go on. */
+  /**
+   * The time after which other processes assume that the run is over; {@link Long#MAX_VALUE} while
+   * it may continue.
+   */
   private long mustEndByMs = Long.MAX_VALUE;
 
   HostedRun(RunRef run, StartRuns order, long sessionId, long nowMs) {
@@ -52,7 +59,7 @@
     this.orderedAtMs = nowMs;
   }
 
-  /** Notes that others take it for over at a time; the earliest counts. */
+  /** Records that other processes assume the run to be over at a time; the earliest one applies. */
   void limitEnd(long atMs) {
     mustEndByMs = Math.min(mustEndByMs, atMs);
   }
@@ -61,7 +68,7 @@
     return mustEndByMs;
   }
 
-  /** Returns whether an order of it may be on its way: one had no answer, or none has yet. */
+  /** Returns whether a start call may still be carried out: some call has had no response. */
   boolean mayStillStart() {
     return state == State.ORDERED || state == State.STOPPING || unansweredStarts > 0;
   }
--- a/core/src/main/java/io/hingehoist/run/host/InstanceRegistry.java
+++ b/core/src/main/java/io/hingehoist/run/host/InstanceRegistry.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * Which lives of workers a host believes in, from what they say of themselves. Owned by {@link
- * WorkerHost}.
+ * Decides from the heartbeats of workers which worker instances the host knows. Not thread-safe:
+ * confined to the event-loop thread.
  */
 final class InstanceRegistry {
   private final RunTiming timing;
@@ -17,7 +17,10 @@
   private final WorkerPoller poller;
   private final HostOutbox outbox;
 
-  /** Lives that a heartbeat names at the address of another, until one answers or is not there. */
+  /**
+   * Instances reported by a heartbeat at the address of a known instance, until a poll shows which
+   * of them exists.
+   */
   private final Map<String, WorkerInstance> unverified = new LinkedHashMap<>();
 
   InstanceRegistry(
@@ -33,15 +36,15 @@
     this.outbox = outbox;
   }
 
-  /** Takes a worker's account of itself. */
+  /** Handles a heartbeat of a worker. */
   void heartbeat(WorkerInfo info, long nowMs) {
     Optional<WorkerInstance> known = instances.find(info.instanceId());
-    if (instances.isOfFormerInstance(info)) {
-      ignore(info.instanceId(), "it is of a life that is over, or tells no birth");
+    if (instances.isFromFormerInstance(info)) {
+      ignore(info.instanceId(), "it is of a former instance or has no start time");
     } else if (known.isPresent()) {
       updateKnown(known.get(), info);
     } else if (instances.hasFormerInstance(info)) {
-      restart(info, nowMs);
+      handleRestart(info, nowMs);
     } else {
       addOrVerify(new WorkerInstance(info, timing, nowMs), nowMs);
     }
@@ -62,19 +65,22 @@
     }
   }
 
-  /** A worker started again under its name: what it had of before is gone. */
-  private void restart(WorkerInfo info, long nowMs) {
-    WorkerInstance later = new WorkerInstance(info, timing, nowMs);
+  /**
+   * Handles the first heartbeat of a worker that restarted under the same name and lost its state.
+   */
+  private void handleRestart(WorkerInfo info, long nowMs) {
+    WorkerInstance restarted = new WorkerInstance(info, timing, nowMs);
     Optional<WorkerInstance> former = instances.ofWorker(info.workerId());
     runController.raiseToken();
-    register(later);
-    former.ifPresent(instance -> runController.instanceRestarted(instance, later, nowMs));
-    poller.poll(later, nowMs);
+    register(restarted);
+    former.ifPresent(instance -> runController.instanceRestarted(instance, restarted, nowMs));
+    poller.poll(restarted, nowMs);
   }
 
   /**
-   * A heartbeat may come late, when its sender has crashed and another life is at its address. So
-   * one that names an address that is taken is believed only once that life answers a call.
+   * Adds an instance, or verifies it first if its address belongs to a known one. A heartbeat may
+   * arrive after its sender has crashed and another instance has taken over the address, so it
+   * counts only once the instance it names responds to a poll.
    */
   private void addOrVerify(WorkerInstance instance, long nowMs) {
     if (!instances.hasAddress(instance.info().address())) {
@@ -94,27 +100,27 @@
     outbox.logDecision("heartbeatIgnored", "", workerId, reason);
   }
 
-  /** Takes an answer of a life; returns whether it was one that is not believed in yet. */
-  boolean verificationCompleted(String instanceId, PollResult answer, long nowMs) {
+  /** Handles the result of a poll; returns whether it was one that verifies an instance. */
+  boolean completeVerification(String instanceId, PollResult result, long nowMs) {
     WorkerInstance candidate = unverified.remove(instanceId);
     if (candidate == null) {
       return false;
     }
-    switch (answer) {
+    switch (result) {
       case PollResult.Listed listed -> replaceWith(candidate, listed, nowMs);
       case PollResult.Fenced fenced -> replaceWith(candidate, fenced, nowMs);
-      case PollResult.OtherInstance gone -> ignore(candidate.id(), "another life answers");
-      case PollResult.ConnectionRefused nobody ->
-          ignore(candidate.id(), "the connection is refused");
-      case PollResult.Unanswered unanswered -> ignore(candidate.id(), "it does not answer");
+      case PollResult.OtherInstance other -> ignore(candidate.id(), "another instance responds");
+      case PollResult.ConnectionRefused refused ->
+          ignore(candidate.id(), "the connection was refused");
+      case PollResult.Unanswered unanswered -> ignore(candidate.id(), "the poll was not answered");
     }
     return true;
   }
 
-  private void replaceWith(WorkerInstance candidate, PollResult answer, long nowMs) {
+  private void replaceWith(WorkerInstance candidate, PollResult result, long nowMs) {
     endInstancesAt(candidate.info().address(), nowMs);
     register(candidate);
-    poller.pollCompleted(candidate, answer, nowMs);
+    poller.pollCompleted(candidate, result, nowMs);
   }
 
   private void endInstancesAt(String address, long nowMs) {
@@ -125,8 +131,8 @@
     }
   }
 
-  /** Notes that a worker takes its leave; what runs there is over when it stops answering. */
-  void leaves(String workerId) {
+  /** Marks a worker as leaving. Its runs are over once it stops responding. */
+  void workerLeaves(String workerId) {
     instances
         .ofWorker(workerId)
         .ifPresent(
--- a/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
+++ b/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
@@ -3,15 +3,17 @@
 import io.hingehoist.run.RunTiming;
 
 /**
- * How far the lease of a worker may be renewed. A lease holds for all runs of a worker, so it ends
- * in time for the run that has to be over first: its owner is not heard, or wants it stopped, and
- * others count the time after which it is over. Owned by {@link WorkerHost}.
+ * Computes how far the lease of a worker may be renewed.
+ *
+ * <p>A lease applies to all runs of a worker, so it has to end in time for the run that must be
+ * over first. A run must be over at a certain time if its owner is silent or wants it stopped:
+ * other processes assume its end from then on. Not thread-safe: confined to the event-loop thread.
  */
 final class LeaseBounds {
-  /** A run that is started on a shorter lease would hardly end within it. */
+  /** A run that is started under a shorter lease would hardly finish within it. */
   private static final long MIN_START_LEASE_MS = 200;
 
-  /** Time for what is late on its way to the worker, and for a caller's clock. */
+  /** Allows for delays on the way to the worker and for the deviation of a caller's clock. */
   private static final long MARGIN_MS = 100;
 
   private final RunTiming timing;
@@ -22,7 +24,7 @@
     this.sessions = sessions;
   }
 
-  /** Returns until when a lease that is granted now may keep the runs of a worker going. */
+  /** Returns the time at which all runs of a worker must be over under a lease granted now. */
   long latestEndMs(WorkerInstance instance, long nowMs) {
     long latestMs = nowMs + timing.workerOverAfterMs();
     for (HostedRun run : instance.runs()) {
@@ -36,20 +38,21 @@
   }
 
   /**
-   * Returns when the runs of an owner are due to be over unless it is heard: its callers return.
+   * Returns when the runs of an owner must be over unless it sends another heartbeat: its callers
+   * then resubmit their jobs elsewhere.
    */
   long ownerRunsEndByMs(OwnerSession session) {
     return session.lease.expiresAtMs() + timing.ownerLeaseMs() - MARGIN_MS;
   }
 
-  /** Returns when a run is due to be over that is to be stopped now. */
+  /** Returns when a run that is stopped now must be over. */
   long stoppedRunEndsByMs(long nowMs) {
     return nowMs + timing.workerOverAfterMs();
   }
 
-  /** Returns whether a run that starts now can have a lease that is of use. */
+  /** Returns whether a run that starts now can get a lease that is long enough. */
   boolean allowsStart(WorkerInstance instance, long nowMs) {
-    long overMs = Math.max(instance.leaseOverAtMs(), latestEndMs(instance, nowMs));
-    return overMs - nowMs >= MIN_START_LEASE_MS;
+    long endMs = Math.max(instance.leaseOverAtMs(), latestEndMs(instance, nowMs));
+    return endMs - nowMs >= MIN_START_LEASE_MS;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSession.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSession.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** A connection of an owner to a host. Owned by {@link WorkerHost}. */
+/** A session of an owner with a host. Not thread-safe: confined to the event-loop thread. */
 final class OwnerSession {
   private static final class WaitingTasks {
     private final int rank;
@@ -21,7 +21,7 @@
     }
   }
 
-  /** Some round trips to an owner that is busy; then the probe counts as lost. */
+  /** Several round trips to a busy owner; after that the probe counts as lost. */
   private static final long PROBE_TIMEOUT_MS = 500;
 
   final long id;
@@ -30,20 +30,20 @@
   private final Map<String, WaitingTasks> waitingByService = new HashMap<>();
   boolean formerRunsOver;
 
-  /** The number of this session's runs that are not over. */
+  /** The number of this session's runs that are not yet over. */
   int runCount;
 
   long lastOrder;
 
-  /** Whether the owner is to be shown the workers at once. */
+  /** Whether the worker rows are to be sent to the owner without delay. */
   boolean rowsDue;
 
-  /** Whether the owner is shown changes as they come, or only in answer to its heartbeats. */
+  /** Whether the owner receives changes as they occur, or only in response to its heartbeats. */
   boolean follows = true;
 
   long rowsSentAtMs;
 
-  private OptionalLong probe = OptionalLong.empty();
+  private OptionalLong pendingProbe = OptionalLong.empty();
   private long probeSentAtMs;
   private boolean unverified;
   private long unverifiedSinceMs;
@@ -54,18 +54,18 @@
     this.lease = lease;
   }
 
-  /** Notes that the owner was sent a probe. */
+  /** Records that a probe was sent to the owner. */
   void recordProbe(long number, long nowMs) {
-    probe = OptionalLong.of(number);
+    pendingProbe = OptionalLong.of(number);
     probeSentAtMs = nowMs;
   }
 
-  /** Returns whether the answer to a probe may yet come. */
+  /** Returns whether the answer to a probe may still arrive. */
   boolean isProbePending(long nowMs) {
-    return probe.isPresent() && nowMs - probeSentAtMs < PROBE_TIMEOUT_MS;
+    return pendingProbe.isPresent() && nowMs - probeSentAtMs < PROBE_TIMEOUT_MS;
   }
 
-  /** Believes nothing of the lease until the owner answers a probe. */
+  /** Marks the lease as unverified until the owner answers a probe. */
   void markUnverified(long nowMs) {
     unverified = true;
     unverifiedSinceMs = nowMs;
@@ -80,16 +80,17 @@
   }
 
   /**
-   * Takes an answer to a probe, which compares clocks and ends a doubt; returns whether it is one.
+   * Handles a session proof. If it answers the pending probe, it updates the clock offset and
+   * verifies the lease. Returns whether it does.
    */
   boolean acceptProof(long number, long sentAtMs, long nowMs) {
-    boolean proves = probe.isPresent() && probe.getAsLong() == number;
-    if (proves) {
+    boolean matches = pendingProbe.isPresent() && pendingProbe.getAsLong() == number;
+    if (matches) {
       lease.onProbeAnswer(probeSentAtMs, sentAtMs, nowMs);
-      probe = OptionalLong.empty();
+      pendingProbe = OptionalLong.empty();
       unverified = false;
     }
-    return proves;
+    return matches;
   }
 
   /** Returns whether runs of the owner may be started. */
@@ -97,7 +98,7 @@
     return !isUnverified() && !lease.isExpired(nowMs);
   }
 
-  /** Takes the owner's word of what waits there; it replaces what was known. */
+  /** Replaces the known waiting tasks with those that the owner reports. */
   void replaceWaitingTasks(List<WaitingRow> rows, long nowMs) {
     waitingByService.clear();
     rows.forEach(row -> waitingByService.put(row.service(), new WaitingTasks(row, nowMs)));
@@ -108,18 +109,21 @@
     return waiting != null && waiting.taskCount > 0;
   }
 
-  /** Notes that room was offered for one of the tasks that wait. */
+  /** Records that room was reserved for one of the waiting tasks. */
   void recordReservation(String service) {
     waitingByService.get(service).taskCount--;
     rowsDue = true;
   }
 
-  /** Forgets what waits: the owner made no use of an offer, and will say what is true now. */
+  /**
+   * Clears the waiting tasks of a service after the owner did not use a reservation; it will report
+   * the current ones.
+   */
   void clearWaitingTasks(String service) {
     waitingByService.remove(service);
   }
 
-  /** Orders connections that wait for a service: the most urgent work first, then the oldest. */
+  /** Orders sessions with waiting tasks of a service: the most urgent first, then the oldest. */
   static Comparator<OwnerSession> byUrgency(String service) {
     return Comparator.<OwnerSession>comparingInt(
             session -> session.waitingByService.get(service).rank)
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /**
- * The sessions of owners with a host: their leases, what is stopped when one ends, and what each is
- * shown of the workers. Owned by {@link WorkerHost}.
+ * Manages the sessions of owners with a host: renews their leases, stops the runs of a session that
+ * ends, and sends the worker rows to owners. Not thread-safe: confined to the event-loop thread.
  */
 final class OwnerSessionManager {
-  /** An owner that was shown the workers so lately knows that its host lives. */
+  /** An owner that received worker rows this recently knows that the host is alive. */
   private static final long ROWS_RECENT_MS = 100;
 
-  /** Some round trips to an owner that is well; after it the owner's runs are stopped. */
+  /** Several round trips to a healthy owner; after that the runs of the owner are stopped. */
   private static final long PROOF_TIMEOUT_MS = 300;
 
   private final String hostId;
@@ -56,11 +56,14 @@
     this.runController = runController;
     this.roomAllocator = roomAllocator;
     this.outbox = outbox;
-    // What the last life of this host had ordered runs on for no longer than its lease.
+    // Runs started by the previous incarnation of this host last no longer than the worker's lease.
     this.formerIncarnationOverAtMs = nowMs + timing.workerOverAfterMs();
   }
 
-  /** Notes a session of an owner, and tells it when every run of its earlier ones is over. */
+  /**
+   * Opens a session of an owner. The owner is notified when all runs of its former sessions are
+   * over.
+   */
   void open(long sessionId, String ownerId, long nowMs) {
     sessions.ofOwner(ownerId).ifPresent(former -> close(former, "replaced", nowMs));
     PeerLease lease = new PeerLease(timing.ownerLeaseMs(), nowMs);
@@ -89,14 +92,14 @@
   }
 
   /**
-   * Renews an owner's lease, and answers with the workers unless they were shown a moment ago.
+   * Renews an owner's lease and responds with the worker rows unless they were sent recently.
    *
-   * @param follows whether the owner is to be shown changes as they come
+   * @param follows whether the owner receives changes as they occur
    */
   void heartbeat(OwnerSession session, long sentAtMs, boolean follows, long nowMs) {
     session.follows = follows;
     if (session.isUnverified()) {
-      // It may have been on its way while this box slept.
+      // The heartbeat may have been in transit while this box was suspended.
       return;
     }
     session.lease.onHeartbeat(sentAtMs, nowMs);
@@ -109,17 +112,17 @@
   }
 
   /**
-   * A lease that ends before the next heartbeat stops every run. That happens where the first
-   * heartbeat of a session took long, by which clocks are compared, as from an owner that has just
-   * started.
+   * Returns whether a lease expires before the next heartbeat, which would stop every run. This
+   * happens if the first heartbeat of a session, which yields the clock offset, was delayed, as
+   * from an owner that has just started.
    */
   private static boolean expiresBeforeNextHeartbeat(OwnerSession session, long nowMs) {
     return session.lease.remainingMs(nowMs) < RunTiming.BEAT_MS;
   }
 
   /**
-   * Asks for an answer by which clocks are compared anew. To close such a session would open it
-   * again from the start, while the owner has callers waiting.
+   * Sends a probe whose answer yields a better clock offset. Closing the session instead would make
+   * the owner open a new one while its callers wait.
    */
   private void sendProbe(OwnerSession session, long nowMs) {
     if (!session.isProbePending(nowMs)) {
@@ -129,9 +132,9 @@
     }
   }
 
-  /** Starts nothing on any session until its owner has answered a probe. */
-  void markAllUnverified(long sleptMs, long nowMs) {
-    outbox.logDecision("mayHaveSlept", "", hostId, "ms=" + sleptMs);
+  /** Prevents starts on every session until its owner has answered a probe. */
+  void markAllUnverified(long suspendedMs, long nowMs) {
+    outbox.logDecision("mayHaveSlept", "", hostId, "ms=" + suspendedMs);
     for (OwnerSession session : sessions.all()) {
       probeNumber++;
       session.markUnverified(nowMs);
@@ -140,7 +143,7 @@
     }
   }
 
-  /** Takes an owner's proof that a session goes on. */
+  /** Handles an owner's proof that its session still exists. */
   void proofReceived(OwnerSession session, long number, long sentAtMs, long nowMs) {
     if (session.acceptProof(number, sentAtMs, nowMs)) {
       String outcome = "leaseLeftMs=" + session.lease.remainingMs(nowMs);
@@ -148,21 +151,21 @@
     }
   }
 
-  /** A host that may have slept itself proves nothing. */
+  /** Answers an owner's probe, except while this host is unsure of the session itself. */
   void probeReceived(OwnerSession session, long number, long nowMs) {
     if (!session.isUnverified()) {
       outbox.send(session.id, new SessionProof(number, nowMs));
     }
   }
 
-  /** Takes an owner's word of what waits there for room. */
-  void updateWaitingTasks(OwnerSession session, OwnerWaiting news, long nowMs) {
-    session.replaceWaitingTasks(news.rows(), nowMs);
+  /** Updates the tasks that wait for room at an owner. */
+  void updateWaitingTasks(OwnerSession session, OwnerWaiting report, long nowMs) {
+    session.replaceWaitingTasks(report.rows(), nowMs);
   }
 
   /**
-   * Shows the workers to an owner whose session goes on on a new connection: what was shown on the
-   * last one may not have come.
+   * Sends the worker rows to an owner whose session continues on a new connection, as those sent on
+   * the previous connection may not have arrived.
    */
   void resume(OwnerSession session, long nowMs) {
     String outcome = "beatAgeMs=" + session.lease.heartbeatAgeMs(nowMs);
@@ -171,7 +174,7 @@
     sendRows(session, nowMs);
   }
 
-  /** Notes that a session is over and can't go on; the owner's runs are stopped. */
+  /** Ends a session that can't be resumed and stops its runs. */
   void end(long sessionId, String reason, long nowMs) {
     sessions.end(sessionId).ifPresent(session -> stopRunsOf(session, reason, nowMs));
   }
@@ -184,7 +187,7 @@
   private void stopRunsOf(OwnerSession session, String reason, long nowMs) {
     int stopped = 0;
     for (WorkerInstance instance : instances.all()) {
-      instance.reservations.forget(session.id);
+      instance.reservations.cancel(session.id);
       for (HostedRun run : instance.runs()) {
         if (run.sessionId == session.id) {
           run.limitEnd(bounds.ownerRunsEndByMs(session));
@@ -199,26 +202,29 @@
     outbox.logDecision("ownerLost", "", session.ownerId, outcome);
   }
 
-  /** Closes the sessions whose leases are over. */
+  /** Closes the sessions whose leases have expired. */
   void closeExpired(long nowMs) {
     for (OwnerSession session : sessions.all()) {
       if (session.isUnverified() && session.unverifiedForMs(nowMs) >= PROOF_TIMEOUT_MS) {
-        close(session, "not proven after a sleep", nowMs);
+        close(session, "not proven after a suspend", nowMs);
       } else if (isExpired(session, nowMs)) {
         close(session, "lease over", nowMs);
       }
     }
   }
 
-  /** Where nothing of an owner runs, it need not renew its lease; it does before it orders. */
+  /**
+   * Returns whether a session has expired. An owner without runs need not renew its lease; it does
+   * so before it sends an order.
+   */
   private static boolean isExpired(OwnerSession session, long nowMs) {
-    boolean leaseOver = session.lease.isExpired(nowMs);
-    return leaseOver
+    boolean leaseExpired = session.lease.isExpired(nowMs);
+    return leaseExpired
         && (session.runCount > 0
             || session.lease.heartbeatAgeMs(nowMs) >= RunTiming.IDLE_SESSION_MS);
   }
 
-  /** Tells owners whose runs of earlier sessions have come to their ends. */
+  /** Notifies the owners whose runs of former sessions are now all over. */
   void notifyFormerRunsOver(long nowMs) {
     sessions.removeEndedWithoutRuns(instances::hasRunsOf);
     for (OwnerSession session : sessions.all()) {
@@ -230,9 +236,9 @@
   }
 
   /**
-   * Shows the workers to every owner if something has changed since the last time, and to those at
-   * once that were offered room. What owners don't wait for is put off for a moment, so that
-   * several changes go out together.
+   * Sends the worker rows to owners if they have changed, and without delay to owners for which
+   * room was reserved. Changes that are not urgent are delayed briefly, so that several are sent
+   * together.
    */
   void publishWorkers(long nowMs) {
     instances.all().forEach(instance -> roomAllocator.reassignExpired(instance, nowMs));
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessions.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessions.java
@@ -9,14 +9,14 @@
 import java.util.function.LongPredicate;
 
 /**
- * The connections of owners to a host, and whose those were that ended while runs of theirs went
- * on. Owned by {@link WorkerHost}.
+ * The open sessions of a host, and the owners of ended sessions that still have runs. Not
+ * thread-safe: confined to the event-loop thread.
  */
 final class OwnerSessions {
   private final Map<Long, OwnerSession> open = new LinkedHashMap<>();
-  private final Map<Long, String> ownersOfEnded = new HashMap<>();
+  private final Map<Long, String> ownersOfEndedSessions = new HashMap<>();
 
-  /** Returns the open connections; the list does not change with them. */
+  /** Returns a snapshot of the open sessions. */
   Collection<OwnerSession> all() {
     return List.copyOf(open.values());
   }
@@ -33,7 +33,7 @@
     return Optional.ofNullable(open.get(sessionId));
   }
 
-  /** Returns the open connection of an owner. */
+  /** Returns the open session of an owner. */
   Optional<OwnerSession> ofOwner(String ownerId) {
     return open.values().stream().filter(session -> session.ownerId.equals(ownerId)).findFirst();
   }
@@ -42,26 +42,26 @@
     open.put(session.id, session);
   }
 
-  /** Ends a connection, and returns it if it was open. */
+  /** Ends a session and returns it if it was open. */
   Optional<OwnerSession> end(long sessionId) {
     OwnerSession session = open.remove(sessionId);
     if (session != null) {
-      ownersOfEnded.put(sessionId, session.ownerId);
+      ownersOfEndedSessions.put(sessionId, session.ownerId);
     }
     return Optional.ofNullable(session);
   }
 
-  /** Returns whether a connection has ended and was one of the owner of another. */
+  /** Returns whether a session has ended and belonged to the owner of another session. */
   boolean isFormer(long sessionId, OwnerSession session) {
-    return sessionId != session.id && session.ownerId.equals(ownersOfEnded.get(sessionId));
+    return sessionId != session.id && session.ownerId.equals(ownersOfEndedSessions.get(sessionId));
   }
 
-  /** Forgets the connections that ended and have no runs any more. */
+  /** Removes the ended sessions that have no runs left. */
   void removeEndedWithoutRuns(LongPredicate hasRuns) {
-    ownersOfEnded.keySet().removeIf(id -> !hasRuns.test(id));
+    ownersOfEndedSessions.keySet().removeIf(id -> !hasRuns.test(id));
   }
 
-  /** Returns the connection whose work comes first of those that wait for room of a service. */
+  /** Returns the session with the most urgent waiting tasks of a service. */
   Optional<OwnerSession> mostUrgent(String service) {
     return open.values().stream()
         .filter(session -> session.hasWaitingTasks(service))
--- a/core/src/main/java/io/hingehoist/run/host/PaceEstimator.java
+++ b/core/src/main/java/io/hingehoist/run/host/PaceEstimator.java
@@ -1,54 +1,57 @@
 package io.hingehoist.run.host;
 
 /**
- * How long a worker usually takes for its runs, as a multiple of their estimates: what its kind of
- * machine gives, not what ails it at a moment.
+ * Estimates how long a worker usually takes for its runs, as a multiple of their estimates. The
+ * estimate reflects the kind of machine, not a temporary disturbance.
  *
- * <p>The geometric mean of many ends, as estimates are off by a factor rather than by an amount.
- * One run that takes far longer than its like says little of the worker, so it counts for a bounded
- * factor. Owned by {@link WorkerInstance}.
+ * <p>It is the geometric mean over many runs, as estimates are wrong by a factor rather than by an
+ * amount. A single run that takes far longer than comparable ones says little about the worker, so
+ * its factor is bounded. Not thread-safe: confined to the event-loop thread.
  */
 final class PaceEstimator {
-  /** From so many ends on a pace is told; the tasks of one job share its wrong estimate. */
-  private static final int MIN_ENDS = 12;
+  /**
+   * The number of runs before a pace is reported: the tasks of one job share the same wrong
+   * estimate.
+   */
+  private static final int MIN_RUNS = 12;
 
-  /** As many ends as a worker has in some tens of seconds. */
-  private static final int REMEMBERED_ENDS = 256;
+  /** The number of runs that end at a worker within some tens of seconds. */
+  private static final int WINDOW_RUNS = 256;
 
-  /** One end counts for a factor of 3 at most, up or down. */
+  /** A single run counts as a factor of at most 3, up or down. */
   private static final double MAX_LOG_DEVIATION = Math.log(3);
 
-  /** What is told stays as it is until the pace has moved by this factor. */
+  /** The reported pace is kept until the estimate has changed by this factor. */
   private static final double REPORT_FACTOR = 1.08;
 
-  private int ends;
+  private int runs;
   private double logPace;
   private int reportedPercent;
 
-  /** Notes a run that ended well while the worker got on as usual. */
+  /** Records a run that succeeded while the worker progressed at its usual rate. */
   void recordSuccess(long ranMs, long estimateMs) {
     double logRatio = Math.log(Math.max(1.0, ranMs) / Math.max(1.0, estimateMs));
-    double off = Math.clamp(logRatio - logPace, -MAX_LOG_DEVIATION, MAX_LOG_DEVIATION);
-    ends++;
-    logPace += off / Math.min(ends, REMEMBERED_ENDS);
+    double logDeviation = Math.clamp(logRatio - logPace, -MAX_LOG_DEVIATION, MAX_LOG_DEVIATION);
+    runs++;
+    logPace += logDeviation / Math.min(runs, WINDOW_RUNS);
     updateReportedPercent();
   }
 
   private void updateReportedPercent() {
-    if (ends < MIN_ENDS) {
+    if (runs < MIN_RUNS) {
       return;
     }
     double percent = 100 * Math.exp(logPace);
-    boolean moved =
+    boolean changed =
         reportedPercent == 0
             || percent > reportedPercent * REPORT_FACTOR
             || percent < reportedPercent / REPORT_FACTOR;
-    if (moved) {
+    if (changed) {
       reportedPercent = (int) Math.max(1, Math.round(percent));
     }
   }
 
-  /** Returns the pace in hundredths of the estimates; 0 while too little is known. */
+  /** Returns the pace in percent of the estimates; 0 while there are too few runs. */
   int percent() {
     return reportedPercent;
   }
--- a/core/src/main/java/io/hingehoist/run/host/PeerLease.java
+++ b/core/src/main/java/io/hingehoist/run/host/PeerLease.java
@@ -1,18 +1,19 @@
 package io.hingehoist.run.host;
 
 /**
- * Counts the lease of a peer from the moment at which the peer sent its last beat, by the peer's
- * own steady clock, so that a beat that was held up on its way renews nothing.
+ * Tracks the lease of a peer, counted from the time at which the peer sent its last heartbeat.
  *
- * <p>The two clocks are compared by the first beat. It was sent after the connection began, and no
- * later than it came; the earlier of the two is taken, as the first beat may have been held up as
- * well. A lease so ends too early by the time that the first beat took, never too late. Not
- * thread-safe.
+ * <p>The send time is taken from the peer's own monotonic clock, so that a heartbeat delayed in
+ * transit does not extend the lease. The first heartbeat yields the offset between the two clocks:
+ * it was sent between the opening of the connection and its own arrival. The earlier bound is used,
+ * because the first heartbeat may have been delayed as well. A lease therefore expires too early by
+ * the transit time of the first heartbeat, but never too late. Not thread-safe: confined to the
+ * event-loop thread.
  */
 final class PeerLease {
   private final long leaseMs;
   private final long openedAtMs;
-  private boolean compared;
+  private boolean offsetKnown;
   private long clockOffsetMs;
   private long expiresAtMs;
 
@@ -24,34 +25,34 @@
 
   void onHeartbeat(long sentAtMs, long nowMs) {
     long latestOffsetMs = nowMs - sentAtMs;
-    clockOffsetMs = compared ? Math.min(clockOffsetMs, latestOffsetMs) : openedAtMs - sentAtMs;
-    compared = true;
+    clockOffsetMs = offsetKnown ? Math.min(clockOffsetMs, latestOffsetMs) : openedAtMs - sentAtMs;
+    offsetKnown = true;
     expiresAtMs = Math.max(expiresAtMs, sentAtMs + clockOffsetMs + leaseMs);
   }
 
   /**
-   * Takes a beat that answers a question: it was sent after the question was, which compares the
-   * clocks anew where the first beat took long.
+   * Handles the answer to a probe. It was sent after the probe, which gives a better clock offset
+   * if the first heartbeat was delayed.
    */
   void onProbeAnswer(long probeSentAtMs, long sentAtMs, long nowMs) {
     long earliestOffsetMs = probeSentAtMs - sentAtMs;
-    clockOffsetMs = compared ? Math.max(clockOffsetMs, earliestOffsetMs) : earliestOffsetMs;
-    compared = true;
+    clockOffsetMs = offsetKnown ? Math.max(clockOffsetMs, earliestOffsetMs) : earliestOffsetMs;
+    offsetKnown = true;
     expiresAtMs =
         Math.max(expiresAtMs, sentAtMs + Math.min(clockOffsetMs, nowMs - sentAtMs) + leaseMs);
   }
 
-  /** Returns how long ago the beat was sent that the lease counts from. */
+  /** Returns the time since the heartbeat from which the lease counts was sent. */
   long heartbeatAgeMs(long nowMs) {
     return nowMs - (expiresAtMs - leaseMs);
   }
 
-  /** Returns when the lease is over unless another beat comes. */
+  /** Returns when the lease expires unless another heartbeat arrives. */
   long expiresAtMs() {
     return expiresAtMs;
   }
 
-  /** Returns how long the lease lasts yet; 0 or less once it is over. */
+  /** Returns the remaining time of the lease; 0 or less once it has expired. */
   long remainingMs(long nowMs) {
     return expiresAtMs - nowMs;
   }
--- a/core/src/main/java/io/hingehoist/run/host/PollResult.java
+++ b/core/src/main/java/io/hingehoist/run/host/PollResult.java
@@ -4,31 +4,31 @@
 import io.hingehoist.message.RunRef;
 import java.util.List;
 
-/** What a worker says of its runs. */
+/** The result of a poll: the list of a worker's runs, or the reason why there is none. */
 public sealed interface PollResult {
 
   /**
-   * An end that the worker lists.
+   * A run that has ended.
    *
-   * @param number counts the ends of one life of the worker, from 1
+   * @param number the sequence number of the end within the worker instance, from 1
    */
   record Ended(long number, RunRef run, RunEnd end) {}
 
   /**
-   * A run that goes on.
+   * A run in progress.
    *
    * @param percent how much of it is done, 0 to 100
    */
   record Running(RunRef run, int percent) {}
 
   /**
-   * The runs that go on, and the ends after the one that was last taken note of.
+   * The runs in progress, and the ends after the last one that the host has processed.
    *
-   * @param startedAtEpochMs when the life began that lists them; 0 where workers don't tell
+   * @param startedAtEpochMs when the responding instance started; 0 if workers don't report it
    */
   record Listed(long workerClockMs, long startedAtEpochMs, List<Running> running, List<Ended> ended)
       implements PollResult {
-    /** Creates the list of a worker that does not tell when its life began. */
+    /** Creates the list of a worker that does not report its start time. */
     public Listed(long workerClockMs, List<Running> running, List<Ended> ended) {
       this(workerClockMs, 0, running, ended);
     }
@@ -40,17 +40,17 @@
     }
 
     boolean contains(RunRef run) {
-      return running.stream().anyMatch(row -> row.run().equals(run));
+      return running.stream().anyMatch(entry -> entry.run().equals(run));
     }
   }
 
-  /** The worker did nothing, as the token was lower than one that it has seen. */
+  /** The worker rejected the call because it has seen a higher fencing token. */
   record Fenced(long workerClockMs) implements PollResult {}
 
-  /** Nothing is known. */
+  /** There was no valid response, so nothing is known. */
   record Unanswered() implements PollResult {}
 
-  /** Another life answered: the one that was meant is over. */
+  /** Another instance responded: the one that was called is over. */
   record OtherInstance() implements PollResult {}
 
   /** The connection was refused. */
--- a/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
+++ b/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
@@ -8,128 +8,143 @@
 import java.util.Set;
 
 /**
- * Says whether the runs of a worker get on, from the progress that its lists show.
+ * Judges from the progress in a worker's run lists whether its runs advance at the usual rate.
  *
- * <p>Progress is work done, by the estimates of the runs, for the time that they ran. A worker that
- * stands still or is slow is so known within some 100 ms, from the runs of all owners together, and
- * before any of them has ended; each owner by itself lost some jobs to it first. Afterwards it
- * rests, and is then tried with a few runs. Not thread-safe: {@link WorkerHost} owns it.
+ * <p>The rate is the work done, according to the estimates of the runs, per time that they ran. The
+ * runs of all owners together reveal a stalled or slow worker within some 100 ms, before any run
+ * has ended; an owner on its own would lose some jobs to the worker first. Such a worker is then
+ * avoided for a pause and afterwards tried with a few runs. Not thread-safe: confined to the
+ * event-loop thread.
  */
 final class ProgressMonitor {
-  /** How a worker's runs get on. */
+  /** The rate at which a worker's runs advance. */
   enum Pace {
     USUAL,
     SLOW,
     STALLED
   }
 
-  /** Time of runs, added up, that a judgement needs: three runs for 50 ms. */
+  /** The minimum run time, summed over all runs, for a judgement: three runs of 50 ms. */
   private static final long MIN_RUN_MS = 150;
 
-  /** Many runs at once add up sooner; a shorter time would judge one list's rounding. */
+  /**
+   * The minimum length of the window. Many concurrent runs reach the minimum run time sooner, but a
+   * shorter window would judge the rounding of a single list.
+   */
   private static final long MIN_WINDOW_MS = 30;
 
-  /** Points of progress that a judgement needs to expect: progress comes in whole hundredths. */
+  /**
+   * The minimum expected progress, in percentage points, for a judgement: progress is reported in
+   * whole percent.
+   */
   private static final double MIN_EXPECTED_PERCENT = 10;
 
-  /** Below this share of the usual rate a worker is slow: estimates of one job are off by 0.4. */
+  /** A worker is slow below this share of the usual rate: estimates of one job deviate by 0.4. */
   private static final double SLOW_SHARE = 0.4;
 
-  /** The same when all runs are of one job, whose one estimate may be far too low. */
+  /** The same if all runs belong to one job, whose single estimate may be far too low. */
   private static final double SLOW_SHARE_OF_ONE_JOB = 0.2;
 
-  /** Not zero: a run may have got on by a hundredth before the standstill began. */
+  /** Not zero: a run may have advanced by one percent before the worker stalled. */
   private static final double STALLED_SHARE = 0.05;
 
-  /** The usual rate follows what is seen within some seconds, whatever estimates are worth. */
+  /**
+   * The usual rate follows the observed one within some seconds, however wrong the estimates are.
+   */
   private static final double USUAL_WEIGHT = 0.02;
 
-  /** Longer than the 150 to 300 ms of a usual run, so that what is moved has found its place. */
-  private static final long FIRST_REST_MS = 500;
+  /**
+   * Longer than the 150 to 300 ms of a usual run, so that moved tasks have started elsewhere by
+   * then.
+   */
+  private static final long INITIAL_PAUSE_MS = 500;
 
-  /** A rest longer than needed costs a worker's room, a failed trial a few runs 0.1 s. */
-  private static final long MAX_REST_MS = 1_500;
+  /**
+   * A pause that is longer than needed leaves a worker's room unused; a failed trial delays a few
+   * runs by 0.1 s.
+   */
+  private static final long MAX_PAUSE_MS = 1_500;
 
-  private static final int ALL_DONE = 100;
+  private static final int COMPLETE_PERCENT = 100;
 
-  private record Mark(int percent, long atMs) {}
+  private record Sample(int percent, long atMs) {}
 
-  private final Map<RunRef, Mark> marks = new HashMap<>();
+  private final Map<RunRef, Sample> samples = new HashMap<>();
   private final Set<String> jobs = new HashSet<>();
-  private final ExponentialBackoff rest = new ExponentialBackoff(FIRST_REST_MS, MAX_REST_MS);
+  private final ExponentialBackoff pause = new ExponentialBackoff(INITIAL_PAUSE_MS, MAX_PAUSE_MS);
   private double workMs;
   private double runMs;
   private double expectedPercent;
-  private long windowBeganAtMs;
+  private long windowStartedAtMs;
   private double usualRate = 1;
   private Pace pace = Pace.USUAL;
-  private boolean seemedSlow;
+  private boolean slowBefore;
 
-  /** Notes how far a run has got. */
+  /** Records the progress of a run. */
   void recordProgress(HostedRun run, int percent, long nowMs) {
-    Mark before = marks.put(run.run, new Mark(percent, nowMs));
-    if (before != null && before.percent() < ALL_DONE) {
+    Sample before = samples.put(run.run, new Sample(percent, nowMs));
+    if (before != null && before.percent() < COMPLETE_PERCENT) {
       add(run, percent - before.percent(), nowMs - before.atMs());
     }
   }
 
-  /** Notes that a run has ended well. */
+  /** Records that a run has succeeded. */
   void recordSuccess(HostedRun run, long nowMs) {
-    Mark before = marks.get(run.run);
+    Sample before = samples.get(run.run);
     if (before != null) {
-      add(run, ALL_DONE - before.percent(), nowMs - before.atMs());
+      add(run, COMPLETE_PERCENT - before.percent(), nowMs - before.atMs());
     }
   }
 
-  /** Forgets a run that is over. */
-  void forget(HostedRun run) {
-    marks.remove(run.run);
+  /** Removes a run that is over. */
+  void remove(HostedRun run) {
+    samples.remove(run.run);
   }
 
-  private void add(HostedRun run, int percent, long tookMs) {
+  private void add(HostedRun run, int percent, long elapsedMs) {
     if (run.estimateMs <= 0) {
       return;
     }
-    workMs += run.estimateMs * percent / (double) ALL_DONE;
-    runMs += tookMs;
-    expectedPercent += usualRate * tookMs * ALL_DONE / run.estimateMs;
+    workMs += run.estimateMs * percent / (double) COMPLETE_PERCENT;
+    runMs += elapsedMs;
+    expectedPercent += usualRate * elapsedMs * COMPLETE_PERCENT / run.estimateMs;
     jobs.add(TaskNames.jobOf(run.run.task()));
   }
 
-  /** Judges what was noted, if it is enough. Returns whether the pace is another one now. */
+  /** Judges the recorded progress if there is enough of it; returns whether the pace changed. */
   boolean judge(long nowMs) {
     boolean enough =
         runMs >= MIN_RUN_MS
-            && nowMs - windowBeganAtMs >= MIN_WINDOW_MS
+            && nowMs - windowStartedAtMs >= MIN_WINDOW_MS
             && expectedPercent >= MIN_EXPECTED_PERCENT;
     if (!enough) {
       return false;
     }
     double rate = workMs / runMs;
     Pace judged = confirmed(paceOf(rate / usualRate));
-    beginWindow(nowMs);
+    startWindow(nowMs);
     boolean changed = judged != pace;
     if (judged == Pace.USUAL) {
       usualRate += USUAL_WEIGHT * (rate - usualRate);
-      rest.reset();
+      pause.reset();
     } else {
-      if (isOnTrial() && !rest.isActive(nowMs)) {
-        rest.increase();
+      if (isOnTrial() && !pause.isActive(nowMs)) {
+        pause.increase();
       }
-      rest.start(nowMs);
+      pause.start(nowMs);
     }
     pace = judged;
     return changed;
   }
 
   /**
-   * Slowness counts once it is seen twice in a row: on a played day, about half of what was seen
-   * once was the wrong estimate of some job.
+   * Reports slowness only after two consecutive observations: in a simulated day, about half of the
+   * single observations were due to the wrong estimate of some job.
    */
-  private Pace confirmed(Pace seen) {
-    boolean confirmed = seen != Pace.SLOW || seemedSlow;
-    seemedSlow = seen == Pace.SLOW;
-    return confirmed ? seen : pace;
+  private Pace confirmed(Pace observed) {
+    boolean confirmed = observed != Pace.SLOW || slowBefore;
+    slowBefore = observed == Pace.SLOW;
+    return confirmed ? observed : pace;
   }
 
   private Pace paceOf(double share) {
@@ -140,20 +155,20 @@
     return share < slowShare ? Pace.SLOW : Pace.USUAL;
   }
 
-  private void beginWindow(long nowMs) {
+  private void startWindow(long nowMs) {
     workMs = 0;
     runMs = 0;
     expectedPercent = 0;
     jobs.clear();
-    windowBeganAtMs = nowMs;
+    windowStartedAtMs = nowMs;
   }
 
-  /** Returns the pace; a worker that has rested counts as usual until it is judged again. */
+  /** Returns the pace; after its pause a worker counts as usual until the next judgement. */
   Pace pace(long nowMs) {
-    return rest.isActive(nowMs) ? pace : Pace.USUAL;
+    return pause.isActive(nowMs) ? pace : Pace.USUAL;
   }
 
-  /** Returns whether a few runs are enough to see whether the worker is well again. */
+  /** Returns whether the worker is on trial: a few runs are enough to find out if it recovered. */
   boolean isOnTrial() {
     return pace != Pace.USUAL;
   }
--- a/core/src/main/java/io/hingehoist/run/host/RoomReservations.java
+++ b/core/src/main/java/io/hingehoist/run/host/RoomReservations.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 
 /**
- * Room of one worker that was freed and is kept, for a moment, for the owner whose work comes
- * first. Without that, all owners order runs for the same room, and whose order comes first wins,
- * however urgent its work is. Owned by {@link WorkerHost}.
+ * Short reservations of freed room at one worker for the owner with the most urgent waiting tasks.
+ *
+ * <p>Without them all owners would send orders for the same room, and the first order would get it
+ * however urgent its tasks are. Not thread-safe: confined to the event-loop thread.
  */
 final class RoomReservations {
-  /** Time for an owner to hear of the reservation and for its order to come back. */
+  /** Enough time for an owner to learn of the reservation and for its order to arrive. */
   static final long RESERVATION_MS = 10;
 
-  /** An reservation that its owner made no use of in time. */
+  /** A reservation that its owner did not use in time. */
   record Expired(long sessionId, Room room) {}
 
   private static final class Reservation {
@@ -26,26 +27,26 @@
 
   private final Map<Long, Reservation> bySession = new HashMap<>();
 
-  /** Keeps room for an owner's connection, in addition to what is kept for it already. */
+  /** Reserves room for an owner's session, in addition to room already reserved for it. */
   void reserve(long sessionId, Room room, long nowMs) {
     Reservation reservation = bySession.computeIfAbsent(sessionId, id -> new Reservation());
-    boolean goesOn = reservation.room != null && nowMs < reservation.expiresAtMs;
-    reservation.room = goesOn ? Rooms.plus(reservation.room, room) : room;
+    boolean isValid = reservation.room != null && nowMs < reservation.expiresAtMs;
+    reservation.room = isValid ? Rooms.plus(reservation.room, room) : room;
     reservation.expiresAtMs = nowMs + RESERVATION_MS;
   }
 
-  /** Returns the room that is kept for others than a connection. */
+  /** Returns the room that is reserved for sessions other than the given one. */
   Room reservedForOthers(long sessionId, long nowMs) {
-    Room kept = Rooms.none();
+    Room reserved = Rooms.none();
     for (Map.Entry<Long, Reservation> entry : bySession.entrySet()) {
       if (entry.getKey() != sessionId && nowMs < entry.getValue().expiresAtMs) {
-        kept = Rooms.plus(kept, entry.getValue().room);
+        reserved = Rooms.plus(reserved, entry.getValue().room);
       }
     }
-    return kept;
+    return reserved;
   }
 
-  /** Notes that an owner ordered a run; what it was offered goes to that run first. */
+  /** Uses the reservation of a session for a run that its owner has ordered. */
   void consume(long sessionId, Room need) {
     Reservation reservation = bySession.get(sessionId);
     if (reservation != null) {
@@ -56,24 +57,24 @@
     }
   }
 
-  /** Removes the offers whose time is over, and returns them. */
+  /** Removes and returns the expired reservations. */
   List<Expired> removeExpired(long nowMs) {
     if (bySession.isEmpty()) {
       return List.of();
     }
-    List<Expired> unused = new ArrayList<>();
+    List<Expired> expired = new ArrayList<>();
     bySession.forEach(
         (id, reservation) -> {
           if (nowMs >= reservation.expiresAtMs) {
-            unused.add(new Expired(id, reservation.room));
+            expired.add(new Expired(id, reservation.room));
           }
         });
-    unused.forEach(reservation -> bySession.remove(reservation.sessionId()));
-    return unused;
+    expired.forEach(reservation -> bySession.remove(reservation.sessionId()));
+    return expired;
   }
 
-  /** Drops what is kept for a connection that ended. */
-  void forget(long sessionId) {
+  /** Cancels the reservation of a session that has ended. */
+  void cancel(long sessionId) {
     bySession.remove(sessionId);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/RowUpdateThrottle.java
+++ b/core/src/main/java/io/hingehoist/run/host/RowUpdateThrottle.java
@@ -4,34 +4,35 @@
 import java.util.List;
 
 /**
- * What a host showed of its workers to every owner, and whether it is time to show them again.
- * Owned by {@link WorkerHost}.
+ * Limits how often changed worker rows are sent to owners. Not thread-safe: confined to the
+ * event-loop thread.
  */
 final class RowUpdateThrottle {
   private static final long MIN_PAUSE_MS = 60;
 
   /**
-   * The pause for each owner, so that a host shows its workers at most fifty times a second in all.
+   * The pause per owner, so that a host sends its worker rows at most fifty times a second in
+   * total.
    */
   private static final long PAUSE_PER_OWNER_MS = 20;
 
-  /** To whom rows are to be shown now. */
+  /** The owners that are to receive the rows now. */
   enum Recipients {
     NONE,
     FOLLOWERS,
     ALL
   }
 
-  private List<WorkerRow> shown = List.of();
+  private List<WorkerRow> sentRows = List.of();
   private long rowsSentAtMs;
 
   /**
-   * Returns to whom rows are to be shown, and takes it that they are. What owners don't wait for is
-   * put off for a moment, so that several changes go out together, and goes only to owners that
-   * follow this host; the others hear of it with their next heartbeat.
+   * Returns the owners that are to receive the rows, and records that they were sent. Changes that
+   * are not urgent are delayed briefly, so that several are sent together, and go only to owners
+   * that follow this host; the other owners receive them with their next heartbeat.
    */
   Recipients recipients(List<WorkerRow> rows, int ownerCount, long nowMs) {
-    if (rows.equals(shown)) {
+    if (rows.equals(sentRows)) {
       return Recipients.NONE;
     }
     boolean urgent = isUrgent(rows);
@@ -39,20 +40,23 @@
     if (!urgent && nowMs - rowsSentAtMs < pauseMs) {
       return Recipients.NONE;
     }
-    shown = rows;
+    sentRows = rows;
     rowsSentAtMs = nowMs;
     return urgent ? Recipients.ALL : Recipients.FOLLOWERS;
   }
 
-  /** Owners must not use a worker that takes nothing, and wait for one that does. */
+  /**
+   * Returns whether a worker was added, removed or changed its state: owners must stop using a
+   * worker that refuses runs, and wait for one that accepts them.
+   */
   private boolean isUrgent(List<WorkerRow> rows) {
-    if (rows.size() != shown.size()) {
+    if (rows.size() != sentRows.size()) {
       return true;
     }
     for (int i = 0; i < rows.size(); i++) {
-      WorkerRow before = shown.get(i);
+      WorkerRow previous = sentRows.get(i);
       WorkerRow row = rows.get(i);
-      if (row.state() != before.state() || !row.workerId().equals(before.workerId())) {
+      if (row.state() != previous.state() || !row.workerId().equals(previous.workerId())) {
         return true;
       }
     }
--- a/core/src/main/java/io/hingehoist/run/host/RunController.java
+++ b/core/src/main/java/io/hingehoist/run/host/RunController.java
@@ -12,26 +12,28 @@
 import java.util.Optional;
 
 /**
- * The orders of a host to its workers: starts and stops, what became of them, and when a run is
- * provably over. The room of a worker is charged from the order of a run until its end is known.
- * Owned by {@link WorkerHost}.
+ * Starts and stops runs at the workers of a host, handles the results of these calls, and decides
+ * when a run is provably over.
+ *
+ * <p>A run occupies room at its worker from its start order until its end is known. Not
+ * thread-safe: confined to the event-loop thread.
  */
 final class RunController {
-  /** An order is sent so often before its number is barred. */
+  /** The number of start calls that are sent for a run before its number is invalidated. */
   private static final int MAX_STARTS = 3;
 
   /**
-   * How late a call may be carried out that had no answer, where its deadline says nothing: it was
-   * by the clock of a former life of the worker.
+   * How late a call without a response may still be carried out if its deadline does not tell,
+   * because the deadline was set by the clock of a former instance of the worker.
    */
   private static final long MAX_CALL_DELAY_MS = 15_000;
 
-  /** A stop that failed sooner than a lost call would waits for the next tick. */
+  /** A stop call that failed earlier than this is repeated only at the next tick. */
   private static final long MIN_STOP_RETRY_MS = 10;
 
   /**
-   * From which unanswered call in a row on a new connection is tried: those that are kept fall
-   * silent together. A lost call has cost its connection already.
+   * The number of consecutive lost calls after which a new connection is used: idle connections to
+   * a worker break together. The connection of a lost call has already been closed.
    */
   private static final int FRESH_CONNECTION_AFTER_LOST_CALLS = 1;
 
@@ -64,11 +66,11 @@
 
   // Starts.
 
-  /** Starts the runs of an order, as far as they may start. */
+  /** Starts the runs of an order that are allowed to start, and refuses the others. */
   void start(OwnerSession session, StartRuns order, long nowMs) {
     session.lastOrder = Math.max(session.lastOrder, order.order());
     if (!session.allowsStarts(nowMs)) {
-      // A beat that is on its way may yet renew the lease, so the owner must hear of each run.
+      // A heartbeat in transit may still renew the lease, so each run has to be refused explicitly.
       order.runs().forEach(run -> refuse(session.id, run, order.workerId(), RunRefusal.NOT_READY));
       return;
     }
@@ -113,8 +115,8 @@
   }
 
   /**
-   * That a worker fails what it runs, or does not get on, is shown to owners, who may have no
-   * better one.
+   * Returns whether a worker in a state accepts runs. A failing, slow or stalled worker does:
+   * owners see its state and may have no better worker.
    */
   private static boolean acceptsRuns(WorkerState state) {
     return switch (state) {
@@ -123,7 +125,9 @@
     };
   }
 
-  /** Tells an owner that a run did not start: no call for it is without an answer. */
+  /**
+   * Reports to an owner that a run did not start. Requires that no call for it lacks a response.
+   */
   private void refuse(long sessionId, RunRef run, String workerId, RunRefusal reason) {
     String outcome = "run=" + run.number() + " reason=" + reason;
     outbox.logDecision("runRefused", run.task(), workerId, outcome);
@@ -146,15 +150,16 @@
             callOptions(instance, run.unansweredCalls, 0)));
   }
 
-  /** Returns when a call counts as lost, given how many in a row were. */
-  static HostEffect.CallOptions callOptions(WorkerInstance instance, int lostInARow, long waitMs) {
-    boolean fresh = lostInARow >= FRESH_CONNECTION_AFTER_LOST_CALLS;
+  /** Returns the options of a call after the given number of consecutive lost calls. */
+  static HostEffect.CallOptions callOptions(
+      WorkerInstance instance, int consecutiveLosses, long waitMs) {
+    boolean fresh = consecutiveLosses >= FRESH_CONNECTION_AFTER_LOST_CALLS;
     return new HostEffect.CallOptions(waitMs + instance.callTimeout.timeoutMs(), fresh);
   }
 
-  /** Takes what became of a start. */
-  void startCallCompleted(WorkerInstance instance, HostedRun run, StartResult answer, long nowMs) {
-    switch (answer) {
+  /** Handles the result of a start call. */
+  void startCallCompleted(WorkerInstance instance, HostedRun run, StartResult result, long nowMs) {
+    switch (result) {
       case StartResult.Started started -> {
         recordResponse(instance, run, nowMs);
         instance.updateClock(started.workerClockMs(), nowMs);
@@ -176,8 +181,9 @@
         startRefused(instance, run, refused.reason(), nowMs);
       }
       case StartResult.Unanswered unanswered -> startUnanswered(instance, run, nowMs);
-      case StartResult.OtherInstance gone -> endInstance(instance, "start met another life", nowMs);
-      case StartResult.ConnectionRefused nobody -> {
+      case StartResult.OtherInstance other ->
+          endInstance(instance, "start call reached another instance", nowMs);
+      case StartResult.ConnectionRefused connectionRefused -> {
         recordRefusedConnection(instance, nowMs);
         startRefused(instance, run, RunRefusal.NOT_READY, nowMs);
       }
@@ -185,9 +191,9 @@
   }
 
   /**
-   * A refusal speaks for its own call only. An earlier call that had no answer may have been
-   * carried out, or may yet be, so the run is over only once its number is barred and a list shows
-   * what became of it.
+   * Handles a refused start call. A refusal concerns only its own call: an earlier call without a
+   * response may have been carried out or may still be. In that case the run is over only once its
+   * number has been invalidated and a list shows whether it ran.
    */
   private void startRefused(WorkerInstance instance, HostedRun run, RunRefusal reason, long nowMs) {
     if (run.unansweredStarts == 0) {
@@ -208,9 +214,10 @@
   }
 
   /**
-   * The same order again is harmless: a worker takes a number once, however often and late it
-   * comes. So the run starts a moment later, in place of elsewhere after its number was barred. In
-   * the end a stop bars the number, so that the order can't be carried out afterwards.
+   * Repeats a start call without a response. This is safe, as a worker accepts a run number only
+   * once, however often and late it arrives, and faster than invalidating the number and starting
+   * the task elsewhere. After the last attempt a stop call invalidates the number, so that none of
+   * the start calls can be carried out later.
    */
   private void startUnanswered(WorkerInstance instance, HostedRun run, long nowMs) {
     instance.callTimeout.recordLoss(nowMs);
@@ -229,9 +236,10 @@
   }
 
   /**
-   * Answers may be heard long after they came, by a host that stood still: an owner whose lease is
-   * over may have started the task elsewhere, and the zone may have been evacuated. A start renews
-   * the lease, which a silent worker's is not to be.
+   * Returns whether a start call may be sent. A host that was paused may process a response long
+   * after it arrived: an owner whose lease has expired may have started the task elsewhere, and the
+   * zone may have been evacuated. A start call renews the worker's lease, which must not happen for
+   * a silent worker.
    */
   private boolean mayStart(WorkerInstance instance, HostedRun run, long nowMs) {
     return run.state == HostedRun.State.ORDERED
@@ -251,16 +259,18 @@
     }
   }
 
-  /** Takes it that a worker has seen a higher token than this host's. */
+  /**
+   * Raises the fencing token after a worker has seen a higher one, or to fence off earlier calls.
+   */
   void raiseToken() {
     token.raise();
     outbox.logDecision("tokenRaised", "", hostId, "token=" + token.value());
   }
 
   /**
-   * A refused connection says that nobody listens there now, not that the runs of the worker are
-   * over. Its lease is left to end; until then another life may answer at its address, which ends
-   * them at once.
+   * Handles a refused connection. It shows that no process listens at the address now, but not that
+   * the runs of the worker are over. The lease is left to expire; if another instance responds at
+   * the address before that, the runs are over at once.
    */
   void recordRefusedConnection(WorkerInstance instance, long nowMs) {
     if (!instance.refusesConnections) {
@@ -274,7 +284,7 @@
 
   // Stops.
 
-  /** Stops a run on its owner's word. One that is not here is over. */
+  /** Stops a run at its owner's request. A run that is not known here is reported as over. */
   void stop(long sessionId, RunRef run, long nowMs) {
     for (WorkerInstance instance : instances.all()) {
       Optional<HostedRun> found = instance.find(run);
@@ -286,13 +296,13 @@
     outbox.send(sessionId, new RunEnded(run, RunEnd.LOST, 0));
   }
 
-  /** Stops a run whose owner is lost or wants it stopped: others may count on its end. */
+  /** Stops a run whose owner is lost or requests it; other processes may rely on its end. */
   void stop(WorkerInstance instance, HostedRun run, long nowMs) {
     run.limitEnd(bounds.stoppedRunEndsByMs(nowMs));
     invalidateNumber(instance, run, nowMs);
   }
 
-  /** Bars the number of a run at its worker, unless that is under way. */
+  /** Invalidates the number of a run at its worker by a stop call, unless one has been sent. */
   private void invalidateNumber(WorkerInstance instance, HostedRun run, long nowMs) {
     if (run.state == HostedRun.State.ORDERED || run.state == HostedRun.State.RUNNING) {
       run.state = HostedRun.State.STOPPING;
@@ -300,7 +310,7 @@
     }
   }
 
-  /** Orders again the stops of a worker that are not carried out and not on their way. */
+  /** Repeats the stop calls of a worker that failed and are not pending. */
   void repeatStops(WorkerInstance instance, long nowMs) {
     for (HostedRun run : instance.runs()) {
       if (run.state == HostedRun.State.STOPPING && !run.stopPending) {
@@ -313,10 +323,10 @@
     run.stopSentAtMs = nowMs;
     run.lastCallAtMs = nowMs;
     run.stopPending = true;
-    sendStop(instance, run.run, run.unansweredCalls);
+    addStopCall(instance, run.run, run.unansweredCalls);
   }
 
-  private void sendStop(WorkerInstance instance, RunRef run, int lostInARow) {
+  private void addStopCall(WorkerInstance instance, RunRef run, int consecutiveLosses) {
     outbox.add(
         new HostEffect.StopCall(
             instance.id(),
@@ -324,25 +334,25 @@
             instance.info().address(),
             run,
             token.value(),
-            callOptions(instance, lostInARow, 0)));
+            callOptions(instance, consecutiveLosses, 0)));
   }
 
-  /** Stops a run that an earlier life of this host, or a late order, left behind. */
+  /** Stops a run that a former incarnation of this host or a late start call left behind. */
   void stopUnknownRun(WorkerInstance instance, RunRef run) {
     outbox.logDecision("strangerStopped", run.task(), instance.id(), "run=" + run.number());
-    sendStop(instance, run, 0);
+    addStopCall(instance, run, 0);
   }
 
   /**
-   * Takes what became of a stop.
+   * Handles the result of a stop call.
    *
-   * @param answered whether the worker said that it was carried out
+   * @param confirmed whether the worker confirmed the stop
    */
-  void stopCallCompleted(WorkerInstance instance, HostedRun run, boolean answered, long nowMs) {
+  void stopCallCompleted(WorkerInstance instance, HostedRun run, boolean confirmed, long nowMs) {
     if (run.state != HostedRun.State.STOPPING) {
       return;
     }
-    if (answered) {
+    if (confirmed) {
       recordResponse(instance, run, nowMs);
       run.state = HostedRun.State.STOPPED;
       run.stopSentAtMs = nowMs;
@@ -350,7 +360,7 @@
     }
     instance.callTimeout.recordLoss(nowMs);
     run.unansweredCalls++;
-    // A connection that is reset at once would be tried a thousand times a second.
+    // A connection that is reset at once would otherwise be retried a thousand times a second.
     run.stopPending = nowMs - run.lastCallAtMs >= MIN_STOP_RETRY_MS;
     if (run.stopPending) {
       callStop(instance, run, nowMs);
@@ -363,7 +373,7 @@
 
   // Ends.
 
-  /** Takes it that a life of a worker is over, and all its runs with it. */
+  /** Removes a worker instance that is over, and ends all its runs. */
   void endInstance(WorkerInstance instance, String reason, long nowMs) {
     instances.remove(instance);
     outbox.logDecision(
@@ -373,51 +383,54 @@
     outbox.add(new HostEffect.CloseConnections(instance.info().address()));
   }
 
-  /** A worker that did not take its leave crashed, perhaps for one of its tasks. */
+  /**
+   * Reports a crash to all owners if a worker ended with runs and without announcing it: one of its
+   * tasks may be the cause.
+   */
   private void recordCrash(WorkerInstance instance, long nowMs) {
     if (instance.info().draining() || !instance.hasRuns()) {
       return;
     }
     long crashedAtMs = instance.refusesConnections ? instance.refusesSinceMs : nowMs;
-    WorkerCrashed news = crashes.add(instance, crashedAtMs, nowMs);
-    String outcome = "again=%s tasks=%d".formatted(news.again(), news.tasks().size());
-    outbox.logDecision("workerCrashed", news.tasks().getFirst(), instance.id(), outcome);
-    outbox.sendToAll(news);
+    WorkerCrashed report = crashes.add(instance, crashedAtMs, nowMs);
+    String outcome = "again=%s tasks=%d".formatted(report.again(), report.tasks().size());
+    outbox.logDecision("workerCrashed", report.tasks().getFirst(), instance.id(), outcome);
+    outbox.sendToAll(report);
   }
 
-  /** Tells an owner of the crashes that it may not have heard of. */
+  /** Sends an owner the recent crashes, as it may have missed them. */
   void sendRecentCrashes(OwnerSession session, long nowMs) {
-    crashes.recent(nowMs).forEach(news -> outbox.send(session.id, news));
+    crashes.recent(nowMs).forEach(report -> outbox.send(session.id, report));
   }
 
   /**
-   * Takes it that a worker has started again under its name, at the same address. What ran in the
-   * former life is over; an order that had no answer yet may be carried out by the later one, so it
-   * is barred there before the task may start elsewhere.
+   * Handles the restart of a worker under the same name and address. The runs of the former
+   * instance are over. A start call without a response may still be carried out by the new
+   * instance, so its run number is invalidated there before the task may start elsewhere.
    */
-  void instanceRestarted(WorkerInstance former, WorkerInstance later, long nowMs) {
+  void instanceRestarted(WorkerInstance former, WorkerInstance restarted, long nowMs) {
     instances.remove(former);
-    outbox.logDecision("workerStartedAgain", "", later.id(), "former=" + former.id());
+    outbox.logDecision("workerStartedAgain", "", restarted.id(), "former=" + former.id());
     recordCrash(former, nowMs);
     for (HostedRun run : former.runs()) {
       if (run.mayStillStart()) {
         former.remove(run);
-        later.add(run);
+        restarted.add(run);
         run.state = HostedRun.State.STOPPING;
         run.startCallsExpireAtMs = nowMs + MAX_CALL_DELAY_MS;
-        callStop(later, run, nowMs);
+        callStop(restarted, run, nowMs);
       } else {
         endRun(former, run, RunEnd.LOST);
       }
     }
   }
 
-  /** Takes it that a run is over without having been of use. */
+  /** Ends a run that produced no result, and reports it with a duration of 0. */
   void endRun(WorkerInstance instance, HostedRun run, RunEnd end) {
     endRun(instance, run, end, run.orderedAtMs);
   }
 
-  /** Takes it that a run is over, and tells its owner. */
+  /** Ends a run and reports its end and duration to its owner. */
   void endRun(WorkerInstance instance, HostedRun run, RunEnd end, long nowMs) {
     remove(instance, run);
     long ranMs = Math.max(0, nowMs - run.orderedAtMs);
--- a/core/src/main/java/io/hingehoist/run/host/StartGuard.java
+++ b/core/src/main/java/io/hingehoist/run/host/StartGuard.java
@@ -4,15 +4,16 @@
 import io.hingehoist.run.ZoneKnowledge;
 
 /**
- * Whether a host may start anything at all: not while it stops, and not in an availability zone
- * that is evacuated or not known not to be. Owned by {@link WorkerHost}.
+ * Decides whether a host may start runs at all: not during a planned stop, and not in an
+ * availability zone that is evacuated or whose state is unknown. Not thread-safe: confined to the
+ * event-loop thread.
  */
 final class StartGuard {
   private final String zone;
   private final ZoneKnowledge zones = ZoneKnowledge.create();
   private boolean zoneAllowsStarts;
   private boolean stopping;
-  private long refusedForZone;
+  private long refusedForZoneCount;
 
   StartGuard(String zone) {
     this.zone = zone;
@@ -26,13 +27,13 @@
     return zones;
   }
 
-  /** Takes word of the evacuated zones; returns whether it is news. */
-  boolean update(EvacuatedZones heard, long nowMs) {
-    boolean news = zones.learn(heard, nowMs);
-    if (news) {
+  /** Updates the evacuated zones; returns whether the update was new. */
+  boolean update(EvacuatedZones update, long nowMs) {
+    boolean changed = zones.learn(update, nowMs);
+    if (changed) {
       zoneAllowsStarts = zones.allowsStartsIn(zone);
     }
-    return news;
+    return changed;
   }
 
   boolean zoneAllowsStarts() {
@@ -52,10 +53,10 @@
   }
 
   void countZoneRefusal() {
-    refusedForZone++;
+    refusedForZoneCount++;
   }
 
   long refusedForZoneCount() {
-    return refusedForZone;
+    return refusedForZoneCount;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/StartResult.java
+++ b/core/src/main/java/io/hingehoist/run/host/StartResult.java
@@ -2,25 +2,25 @@
 
 import io.hingehoist.message.RunRefusal;
 
-/** What became of an order to a worker. */
+/** The result of a start call to a worker. */
 public sealed interface StartResult {
 
-  /** The run is there. */
+  /** The worker has accepted the run. */
   record Started(long workerClockMs) implements StartResult {}
 
-  /** The worker did nothing, as the token was lower than one that it has seen. */
+  /** The worker rejected the call because it has seen a higher fencing token. */
   record Fenced(long workerClockMs) implements StartResult {}
 
-  /** The worker did nothing, as the deadline had passed by its clock. */
+  /** The worker rejected the call because the deadline had passed by its clock. */
   record Late(long workerClockMs) implements StartResult {}
 
-  /** The worker did nothing, and says why. */
+  /** The worker refused the run for the given reason. */
   record Refused(RunRefusal reason) implements StartResult {}
 
-  /** Nothing is known: the order may be carried out, now or later. */
+  /** There was no valid response: the call may be carried out, now or later. */
   record Unanswered() implements StartResult {}
 
-  /** Another life answered: the one that was meant is over. */
+  /** Another instance responded: the one that was called is over. */
   record OtherInstance() implements StartResult {}
 
   /** The connection was refused, so this call was not carried out. */
--- a/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
@@ -9,18 +9,18 @@
 import java.util.List;
 
 /**
- * The decisions of a host: whether a run fits its worker, how long workers and owners may go on,
- * and when a run is provably over.
+ * Makes the decisions of a host: whether a run fits its worker, how long the leases of workers and
+ * owners last, and when a run is provably over.
  *
- * <p>This class takes the events and hands each to the part that decides: {@link InstanceRegistry}
- * (which workers there are), {@link RunController} (starts and stops), {@link WorkerPoller} (what
- * runs and has ended), {@link OwnerSessionManager} (sessions of owners and what they see), {@link
- * FreedRoomAllocator} (who gets freed room).
+ * <p>This class receives the events and delegates them: {@link InstanceRegistry} (which workers
+ * exist), {@link RunController} (starts and stops), {@link WorkerPoller} (running and ended runs),
+ * {@link OwnerSessionManager} (sessions of owners and the rows sent to them), {@link
+ * FreedRoomAllocator} (which owner gets freed room).
  *
- * <p>The room of a worker is charged from the order of a run until its end is known, so it is never
- * exceeded. Times are milliseconds of a clock that never goes back. Call a method for each event,
- * then {@link #publishWorkers}, then carry out {@link #drainEffects} in order. Not thread-safe: one
- * thread owns it.
+ * <p>A run occupies room at its worker from its start order until its end is known, so the capacity
+ * is never exceeded. Times are milliseconds of a monotonic clock. Call a method for each event,
+ * then {@link #publishWorkers}, then carry out {@link #drainEffects} in order. Not thread-safe:
+ * confined to the event-loop thread.
  */
 public final class WorkerHost {
   private final WorkerInstances instances = new WorkerInstances();
@@ -30,7 +30,7 @@
   private final RunController runController;
   private final WorkerPoller poller;
   private final InstanceRegistry registry;
-  private final OwnerSessionManager owners;
+  private final OwnerSessionManager sessionManager;
 
   private WorkerHost(
       String hostId, long incarnation, String zone, RunTiming timing, long firstToken, long nowMs) {
@@ -43,7 +43,7 @@
     this.poller =
         new WorkerPoller(timing, instances, token, bounds, runController, roomAllocator, outbox);
     this.registry = new InstanceRegistry(timing, instances, runController, poller, outbox);
-    this.owners =
+    this.sessionManager =
         new OwnerSessionManager(
             hostId,
             incarnation,
@@ -59,34 +59,34 @@
   }
 
   /**
-   * Creates a host that knows no worker yet.
+   * Creates a host without workers.
    *
-   * @param token a number above those that earlier lives of this host used, as far as is known
+   * @param token the first fencing token; above those of former incarnations, as far as known
    */
   public static WorkerHost create(
       String hostId, long incarnation, String zone, RunTiming timing, long token, long nowMs) {
     return new WorkerHost(hostId, incarnation, zone, timing, token, nowMs);
   }
 
-  /** Returns what is to be done since the last call, in order. */
+  /** Returns and removes the effects added since the last call, in order. */
   public List<HostEffect> drainEffects() {
     return outbox.drain();
   }
 
   // Workers.
 
-  /** Takes a worker's account of itself. */
+  /** Handles a heartbeat of a worker. */
   public void workerHeartbeat(WorkerInfo info, long nowMs) {
     registry.heartbeat(info, nowMs);
   }
 
-  /** Notes that a worker takes its leave; what runs there is over when it stops answering. */
+  /** Marks a worker as leaving. Its runs are over once it stops responding. */
   public void workerLeaves(String workerId) {
-    registry.leaves(workerId);
+    registry.workerLeaves(workerId);
   }
 
-  /** Takes what became of a start. */
-  public void startCallCompleted(String instanceId, RunRef run, StartResult answer, long nowMs) {
+  /** Handles the result of a start call. */
+  public void startCallCompleted(String instanceId, RunRef run, StartResult result, long nowMs) {
     instances
         .find(instanceId)
         .ifPresent(
@@ -94,15 +94,15 @@
                 instance
                     .find(run)
                     .ifPresent(
-                        found -> runController.startCallCompleted(instance, found, answer, nowMs)));
+                        found -> runController.startCallCompleted(instance, found, result, nowMs)));
   }
 
   /**
-   * Takes what became of a stop.
+   * Handles the result of a stop call.
    *
-   * @param answered whether the worker said that it was carried out
+   * @param confirmed whether the worker confirmed the stop
    */
-  public void stopCallCompleted(String instanceId, RunRef run, boolean answered, long nowMs) {
+  public void stopCallCompleted(String instanceId, RunRef run, boolean confirmed, long nowMs) {
     instances
         .find(instanceId)
         .ifPresent(
@@ -111,62 +111,67 @@
                     .find(run)
                     .ifPresent(
                         found ->
-                            runController.stopCallCompleted(instance, found, answered, nowMs)));
+                            runController.stopCallCompleted(instance, found, confirmed, nowMs)));
   }
 
-  /** Takes a worker's list of its runs. */
-  public void pollCallCompleted(String instanceId, PollResult answer, long nowMs) {
-    if (!registry.verificationCompleted(instanceId, answer, nowMs)) {
+  /** Handles the result of a poll. */
+  public void pollCallCompleted(String instanceId, PollResult result, long nowMs) {
+    if (!registry.completeVerification(instanceId, result, nowMs)) {
       instances
           .find(instanceId)
-          .ifPresent(instance -> poller.pollCompleted(instance, answer, nowMs));
+          .ifPresent(instance -> poller.pollCompleted(instance, result, nowMs));
     }
   }
 
   // Owners.
 
-  /** Notes a session of an owner, and tells it when every run of its earlier ones is over. */
+  /**
+   * Opens a session of an owner. The owner is notified when all runs of its former sessions are
+   * over.
+   */
   public void sessionOpened(long sessionId, String ownerId, long nowMs) {
-    owners.open(sessionId, ownerId, nowMs);
+    sessionManager.open(sessionId, ownerId, nowMs);
   }
 
   /**
-   * Renews an owner's lease, and answers with the workers unless they were shown a moment ago.
+   * Renews an owner's lease and responds with the worker rows unless they were sent recently.
    *
-   * @param follows whether the owner is to be shown changes as they come
+   * @param follows whether the owner receives changes as they occur
    */
   public void ownerHeartbeat(long sessionId, long sentAtMs, boolean follows, long nowMs) {
     sessions
         .find(sessionId)
-        .ifPresent(session -> owners.heartbeat(session, sentAtMs, follows, nowMs));
+        .ifPresent(session -> sessionManager.heartbeat(session, sentAtMs, follows, nowMs));
   }
 
-  /** Takes an owner's word of what waits there for room. */
-  public void updateWaitingTasks(long sessionId, OwnerWaiting news, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.updateWaitingTasks(session, news, nowMs));
+  /** Updates the tasks that wait for room at an owner. */
+  public void updateWaitingTasks(long sessionId, OwnerWaiting report, long nowMs) {
+    sessions
+        .find(sessionId)
+        .ifPresent(session -> sessionManager.updateWaitingTasks(session, report, nowMs));
   }
 
-  /** Notes that a session goes on on a new connection. */
+  /** Handles a session that continues on a new connection. */
   public void sessionResumed(long sessionId, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.resume(session, nowMs));
+    sessions.find(sessionId).ifPresent(session -> sessionManager.resume(session, nowMs));
   }
 
-  /** Notes that a session is over and can't go on; the owner's runs are stopped. */
+  /** Ends a session that can't be resumed and stops its runs. */
   public void sessionEnded(long sessionId, String reason, long nowMs) {
-    owners.end(sessionId, reason, nowMs);
+    sessionManager.end(sessionId, reason, nowMs);
   }
 
-  /** Starts the runs of an order, as far as they may start. */
+  /** Starts the runs of an order that are allowed to start, and refuses the others. */
   public void startRuns(long sessionId, StartRuns order, long nowMs) {
     sessions.find(sessionId).ifPresent(session -> runController.start(session, order, nowMs));
   }
 
-  /** Stops a run on its owner's word. One that is not here is over. */
+  /** Stops a run at its owner's request. A run that is not known here is reported as over. */
   public void stopRun(long sessionId, RunRef run, long nowMs) {
     runController.stop(sessionId, run, nowMs);
   }
 
-  /** Returns whether runs of an open session are not over. */
+  /** Returns whether an open session has runs that are not over. */
   public boolean hasRuns(long sessionId) {
     return sessions.find(sessionId).filter(session -> session.runCount > 0).isPresent();
   }
@@ -174,77 +179,82 @@
   // Zones.
 
   /**
-   * Takes word of the evacuated availability zones. In one of them a host starts nothing, whoever
-   * asks: an owner may not have heard of it. What runs goes on to its end: it ends within seconds,
-   * and to stop it would throw its work away.
+   * Updates the evacuated availability zones. In an evacuated zone a host refuses all starts, as
+   * owners may not know of the evacuation yet. Runs in progress continue: they end within seconds,
+   * and stopping them would waste their work.
    *
-   * @param source who told it
-   * @return whether it is news, which is to be passed on to every owner
+   * @param source the process that sent the update
+   * @return whether the update was new and is to be forwarded to every owner
    */
-  public boolean evacuatedZonesReceived(EvacuatedZones heard, String source, long nowMs) {
-    if (!startGuard.update(heard, nowMs)) {
+  public boolean evacuatedZonesReceived(EvacuatedZones update, String source, long nowMs) {
+    if (!startGuard.update(update, nowMs)) {
       return false;
     }
     String outcome =
         "version=%d evacuated=%s startsHere=%s runs=%d"
-            .formatted(heard.version(), heard.zones(), startGuard.zoneAllowsStarts(), runCount());
+            .formatted(update.version(), update.zones(), startGuard.zoneAllowsStarts(), runCount());
     outbox.logDecision("zonesInForce", "", source, outcome);
     return true;
   }
 
-  /** Returns what is known of the evacuated availability zones. */
+  /** Returns the known state of the evacuated availability zones. */
   public ZoneKnowledge zones() {
     return startGuard.zones();
   }
 
-  /** Returns the number of runs that were refused as the zone is evacuated, or not known not to. */
+  /** Returns the number of runs refused because the zone is evacuated or its state is unknown. */
   public long refusedForZoneCount() {
     return startGuard.refusedForZoneCount();
   }
 
-  // Sleep.
+  // Suspension of the box.
 
-  /** Notes that this box may have slept: no lease of an owner is believed until it answers. */
-  public void mayHaveSlept(long sleptMs, long nowMs) {
-    owners.markAllUnverified(sleptMs, nowMs);
+  /**
+   * Handles a possible suspend of this box: no owner's lease counts until the owner answers a
+   * probe.
+   */
+  public void mayHaveSlept(long suspendedMs, long nowMs) {
+    sessionManager.markAllUnverified(suspendedMs, nowMs);
   }
 
-  /** Takes an owner's proof that a session goes on. */
+  /** Handles an owner's proof that its session still exists. */
   public void sessionProven(long sessionId, long number, long sentAtMs, long nowMs) {
     sessions
         .find(sessionId)
-        .ifPresent(session -> owners.proofReceived(session, number, sentAtMs, nowMs));
+        .ifPresent(session -> sessionManager.proofReceived(session, number, sentAtMs, nowMs));
   }
 
-  /** Proves to an owner that its session goes on, if it does. */
+  /** Answers an owner's probe with a proof that its session still exists. */
   public void sessionProbed(long sessionId, long number, long nowMs) {
-    sessions.find(sessionId).ifPresent(session -> owners.probeReceived(session, number, nowMs));
+    sessions
+        .find(sessionId)
+        .ifPresent(session -> sessionManager.probeReceived(session, number, nowMs));
   }
 
   // Time and rows.
 
-  /** Does what the time has made due. */
+  /** Performs the actions that are due at the current time. */
   public void onTick(long nowMs) {
-    owners.closeExpired(nowMs);
+    sessionManager.closeExpired(nowMs);
     for (WorkerInstance instance : instances.all()) {
       poller.endRunsAfterLease(instance, nowMs);
       runController.repeatStops(instance, nowMs);
       poller.pollIfDue(instance, nowMs);
     }
-    owners.notifyFormerRunsOver(nowMs);
+    sessionManager.notifyFormerRunsOver(nowMs);
   }
 
-  /** Shows the workers to owners, as far as something has changed for them. */
+  /** Sends the worker rows to the owners for which they have changed. */
   public void publishWorkers(long nowMs) {
-    owners.publishWorkers(nowMs);
+    sessionManager.publishWorkers(nowMs);
   }
 
-  /** Takes no further runs; those that are here go on to their ends. */
+  /** Stops accepting runs. Runs in progress continue to their ends. */
   public void stopAcceptingRuns() {
     startGuard.stopAcceptingRuns();
   }
 
-  /** Returns whether nothing runs here. */
+  /** Returns whether there are no runs. */
   public boolean isIdle() {
     return instances.isIdle();
   }
@@ -254,12 +264,12 @@
     return instances.runCount();
   }
 
-  /** Returns the number of start calls that had no answer. */
+  /** Returns the number of start calls without a response. */
   public long unansweredStartCount() {
     return runController.unansweredStartCount();
   }
 
-  /** Returns the number of ends that workers listed of runs that were not known here. */
+  /** Returns the number of ends listed by workers for runs that this host does not know. */
   public long unknownEndCount() {
     return poller.unknownEndCount();
   }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerInfo.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInfo.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * What a worker says of itself.
+ * The contents of a worker's heartbeat.
  *
- * @param workerId names the worker; a later life may have the same name
- * @param address where it takes orders
- * @param version rises with each account, so that one that overtakes another is known
- * @param clockMs the worker's own clock when it said so
- * @param startedAtEpochMs when this life began, in milliseconds since 1970; 0 where workers don't
- *     tell
+ * @param workerId the name of the worker; a restarted worker may have the same name
+ * @param address where the worker accepts calls
+ * @param version increases with each heartbeat, so that reordered heartbeats are detected
+ * @param clockMs the worker's own clock when it sent the heartbeat
+ * @param startedAtEpochMs when this instance started, in milliseconds since 1970; 0 if workers
+ *     don't report it
  */
 public record WorkerInfo(
     String workerId,
@@ -30,7 +30,7 @@
     labels = List.copyOf(labels);
   }
 
-  /** Creates the account of a worker that does not tell when its life began. */
+  /** Creates the heartbeat of a worker that does not report its start time. */
   public WorkerInfo(
       String workerId,
       String service,
@@ -44,12 +44,12 @@
     this(workerId, service, address, zone, draining, capacity, labels, version, clockMs, 0);
   }
 
-  /** Returns the name of this life, which no other life of any worker has. */
+  /** Returns the id of this instance, which is unique among all instances of all workers. */
   public String instanceId() {
     return startedAtEpochMs == 0 ? workerId : workerId + '@' + startedAtEpochMs;
   }
 
-  /** Returns this account as that of a worker that is leaving. */
+  /** Returns a copy of this heartbeat that marks the worker as draining. */
   WorkerInfo asDraining() {
     return new WorkerInfo(
         workerId,
@@ -65,10 +65,11 @@
   }
 
   /**
-   * Returns the first account of a later life of the same worker, of which nothing else is known.
+   * Returns the initial state of a restarted instance of the same worker, of which only the start
+   * time is known.
    */
-  WorkerInfo asRestarted(long laterStartedAtEpochMs) {
+  WorkerInfo asRestarted(long restartedAtEpochMs) {
     return new WorkerInfo(
-        workerId, service, address, zone, false, capacity, labels, 0, 0, laterStartedAtEpochMs);
+        workerId, service, address, zone, false, capacity, labels, 0, 0, restartedAtEpochMs);
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
@@ -13,7 +13,8 @@
 import java.util.Optional;
 
 /**
- * One life of a worker: its room, its runs, its lease and its clock. Owned by {@link WorkerHost}.
+ * The state of a worker instance, that is, of a worker from its start to its end: its room, runs,
+ * lease and clock. Not thread-safe: confined to the event-loop thread.
  */
 final class WorkerInstance {
   private static final double MIN_CLOCK_RATE = 0.98;
@@ -34,15 +35,17 @@
   long lastSeen;
   boolean silent;
 
-  /** Whether connections to it are refused, and since when; it is silent then. */
+  /** Whether connections to the worker are refused; it counts as silent then. */
   boolean refusesConnections;
 
   long refusesSinceMs;
 
-  /** Whether runs may be there that this host did not order: no room is given out meanwhile. */
+  /**
+   * Whether the worker may have runs that this host did not start; no room is assigned meanwhile.
+   */
   boolean hasUnknownRuns = true;
 
-  /** Whether a list of this life has come. */
+  /** Whether this instance has responded to a poll with a list. */
   boolean polled;
 
   boolean pollPending;
@@ -61,28 +64,30 @@
     return info;
   }
 
-  /** Returns the name of this life, by which owners order runs as well. */
+  /** Returns the id of this instance, which owners also use in their orders. */
   String id() {
     return info.instanceId();
   }
 
-  /** Returns when this life began; 0 where workers don't tell. */
+  /** Returns when this instance started; 0 if workers don't report it. */
   long startedAtEpochMs() {
     return info.startedAtEpochMs();
   }
 
-  /** Returns whether an account may be of this life, which keeps its service and its address. */
+  /**
+   * Returns whether a heartbeat can belong to this instance, whose service and address are fixed.
+   */
   boolean hasSameEndpoint(WorkerInfo heartbeat) {
     return heartbeat.service().equals(info.service()) && heartbeat.address().equals(info.address());
   }
 
-  /** Takes a newer account; returns whether it shows something else. */
+  /** Updates the state from a newer heartbeat; returns whether its draining flag changed. */
   boolean update(WorkerInfo newer) {
     if (newer.version() < info.version()) {
       return false;
     }
     boolean changed = newer.draining() != info.draining();
-    // A worker that is leaving does not come back under the same name.
+    // A worker that is leaving never becomes available again under the same id.
     boolean draining = newer.draining() || info.draining();
     info = draining ? newer.asDraining() : newer;
     return changed;
@@ -95,7 +100,7 @@
     clockReadAtMs = nowMs;
   }
 
-  /** Returns a time that the worker's clock has reached for sure. */
+  /** Returns a time that the worker's clock has certainly reached. */
   private long minClockMs(long nowMs) {
     return clockMs + (long) ((nowMs - clockReadAtMs) * MIN_CLOCK_RATE);
   }
@@ -103,9 +108,9 @@
   /**
    * Renews the lease.
    *
-   * @param overAtMs when everything is to be over unless it is renewed again
-   * @return the deadline of a call that is sent now; the lease that was granted last if that is
-   *     longer, as a worker's lease never becomes shorter
+   * @param overAtMs when all runs must be over unless the lease is renewed again
+   * @return the deadline of a call sent now; that of the previous lease if it ends later, as a
+   *     worker's lease never becomes shorter
    */
   long grantLease(long overAtMs, long nowMs) {
     leaseOverAtMs = Math.max(leaseOverAtMs, overAtMs);
@@ -116,12 +121,12 @@
     return nowMs >= leaseOverAtMs;
   }
 
-  /** Returns when the lease that was granted last is over. */
+  /** Returns when all runs are over under the leases granted so far. */
   long leaseOverAtMs() {
     return leaseOverAtMs;
   }
 
-  /** Returns, for the log, what is believed of this life. */
+  /** Returns the assumed state of this instance for the log. */
   String describeState(long nowMs) {
     long unanswered = runs.values().stream().filter(run -> run.unansweredStarts > 0).count();
     return "runs=%d withUnansweredStarts=%d leaseLeftMs=%d lostHolds=%d"
@@ -130,7 +135,7 @@
 
   // Runs and room.
 
-  /** Returns the room that may be given out: a part of it while the worker is on trial. */
+  /** Returns the room that may be assigned; only a part of it while the worker is on trial. */
   Room free() {
     Room capacity = info.capacity();
     if (failures.isOnTrial() || progress.isOnTrial()) {
@@ -144,9 +149,9 @@
   }
 
   /**
-   * Returns the room that a connection may use: all that is free but what is kept for others. A
-   * worker that runs nothing keeps none: orders that take longer than an offer would never find
-   * any.
+   * Returns the room that a session may use: the free room without that reserved for others. For a
+   * worker without runs reservations are ignored, as orders that take longer to arrive than a
+   * reservation lasts would never find room.
    */
   Room freeFor(long sessionId, long nowMs) {
     if (!hasRuns()) {
@@ -155,13 +160,13 @@
     return Rooms.minus(free(), reservations.reservedForOthers(sessionId, nowMs));
   }
 
-  /** Returns whether there is hardly room for a run with such a need. */
-  boolean isTightFor(Room need) {
+  /** Returns whether the worker has little room left, or too little for a run with a need. */
+  boolean isNearlyFullFor(Room need) {
     Room free = free();
     return Rooms.isTight(free, info.capacity()) || !Rooms.fits(need, free);
   }
 
-  /** Notes a run that ended well. */
+  /** Records a run that succeeded. */
   void recordSuccess(HostedRun run, long nowMs) {
     progress.recordSuccess(run, nowMs);
     if (progress.pace(nowMs) == ProgressMonitor.Pace.USUAL && !progress.isOnTrial()) {
@@ -178,13 +183,13 @@
     return Optional.ofNullable(runs.get(run));
   }
 
-  /** Returns whether a run of a task is here, whatever its number. */
+  /** Returns whether there is a run of a task, whatever its number. */
   boolean hasTask(String task) {
     return runs.keySet().stream().anyMatch(run -> run.task().equals(task));
   }
 
   void remove(HostedRun run) {
-    progress.forget(run);
+    progress.remove(run);
     if (runs.remove(run.run) != null) {
       used = Rooms.minus(used, run.need);
     }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerInstances.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInstances.java
@@ -7,40 +7,40 @@
 import java.util.Optional;
 
 /**
- * The lives of workers that a host calls, and when the newest life of each began. Owned by {@link
- * WorkerHost}.
+ * The worker instances that a host calls, and the newest known start time of each worker. Not
+ * thread-safe: confined to the event-loop thread.
  */
 final class WorkerInstances {
-  /** A host stands beside one worker; the others are those that it had before. */
-  private static final int MAX_NEWEST_STARTS = 64;
+  /** A host serves one worker at a time; the other entries are former workers. */
+  private static final int MAX_START_TIMES = 64;
 
   private final Map<String, WorkerInstance> instances = new LinkedHashMap<>();
 
-  /** When the newest life began that was known of each worker, the oldest worker first. */
-  private final Map<String, Long> newestStarts = new LinkedHashMap<>();
+  /** The newest known start time by worker, in the order of the last update. */
+  private final Map<String, Long> newestStartTimes = new LinkedHashMap<>();
 
   void add(WorkerInstance instance) {
     instances.put(instance.id(), instance);
     String workerId = instance.info().workerId();
-    newestStarts.remove(workerId);
-    newestStarts.put(workerId, instance.startedAtEpochMs());
-    if (newestStarts.size() > MAX_NEWEST_STARTS) {
-      newestStarts.remove(newestStarts.keySet().iterator().next());
+    newestStartTimes.remove(workerId);
+    newestStartTimes.put(workerId, instance.startedAtEpochMs());
+    if (newestStartTimes.size() > MAX_START_TIMES) {
+      newestStartTimes.remove(newestStartTimes.keySet().iterator().next());
     }
   }
 
-  /** Returns whether an account is of a life before the newest one that was known. */
-  boolean isOfFormerInstance(WorkerInfo heartbeat) {
-    return heartbeat.startedAtEpochMs() < newestStarts.getOrDefault(heartbeat.workerId(), 0L);
+  /** Returns whether a heartbeat is from an instance older than the newest known one. */
+  boolean isFromFormerInstance(WorkerInfo heartbeat) {
+    return heartbeat.startedAtEpochMs() < newestStartTimes.getOrDefault(heartbeat.workerId(), 0L);
   }
 
-  /** Returns whether a worker of this name was known in an earlier life. */
+  /** Returns whether an older instance of the heartbeat's worker is known. */
   boolean hasFormerInstance(WorkerInfo heartbeat) {
-    Long startedAtEpochMs = newestStarts.get(heartbeat.workerId());
+    Long startedAtEpochMs = newestStartTimes.get(heartbeat.workerId());
     return startedAtEpochMs != null && startedAtEpochMs < heartbeat.startedAtEpochMs();
   }
 
-  /** Returns the life of a worker, by the name that all its lives have. */
+  /** Returns the instance of a worker, by the name shared by all its instances. */
   Optional<WorkerInstance> ofWorker(String workerId) {
     return instances.values().stream()
         .filter(instance -> instance.info().workerId().equals(workerId))
@@ -55,7 +55,7 @@
     return Optional.ofNullable(instances.get(instanceId));
   }
 
-  /** Returns all lives; the list does not change with them. */
+  /** Returns a snapshot of all instances. */
   Collection<WorkerInstance> all() {
     return List.copyOf(instances.values());
   }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
@@ -8,28 +8,29 @@
 import java.util.Optional;
 
 /**
- * The lists that a host asks of its workers: what runs there, what has ended, how it gets on. The
- * same call renews the worker's lease. Owned by {@link WorkerHost}.
+ * Polls the workers of a host for their lists of running and ended runs, and processes these lists.
+ *
+ * <p>The same call renews the worker's lease. Not thread-safe: confined to the event-loop thread.
  */
 final class WorkerPoller {
   /**
-   * How long a worker that runs something may wait for an end. A lost call hides ends so long, and
-   * a worker that stands still is known after two lists.
+   * How long a worker with runs may delay its response until a run ends. A lost call hides ends for
+   * this time, and a stalled worker is detected after two lists.
    */
   private static final long WAIT_WITH_RUNS_MS = 50;
 
-  /** The same while calls get lost, so that ends are hidden for a shorter time. */
+  /** The same while calls are being lost, so that ends are hidden for a shorter time. */
   private static final long WAIT_WHEN_LOSSY_MS = 20;
 
   /**
-   * The same for a worker that runs nothing. A run that begins meanwhile has a lease of 800 ms,
-   * which the next call renews, so 300 are left for that call.
+   * The same for a worker without runs. A run that starts meanwhile has a lease of 800 ms, which
+   * the next call renews, so 300 ms remain for that call.
    */
   private static final long WAIT_WITHOUT_RUNS_MS = 500;
 
   private static final long SILENT_RETRY_MS = 50;
 
-  /** While one call of ten gets lost, a worker that is well looks silent once in 1,000 calls. */
+  /** If one call in ten is lost, a healthy worker appears silent once in 1,000 calls. */
   private static final int SILENT_AFTER_LOST_POLLS = 3;
 
   private static final long MIN_POLL_INTERVAL_MS = 2;
@@ -60,14 +61,14 @@
     this.outbox = outbox;
   }
 
-  /** Asks for a list if one is due. */
+  /** Polls a worker if a poll is due. */
   void pollIfDue(WorkerInstance instance, long nowMs) {
     if (!instance.pollPending && nowMs >= instance.nextPollAtMs) {
       poll(instance, nowMs);
     }
   }
 
-  /** Asks for a list unless an answer is yet to come. */
+  /** Polls a worker unless a poll is pending. */
   void poll(WorkerInstance instance, long nowMs) {
     if (instance.pollPending) {
       return;
@@ -75,16 +76,16 @@
     instance.pollPending = true;
     instance.pollSentAtMs = nowMs;
     long waitMs = waitMs(instance, nowMs);
-    // The lease of a worker that may be lost is left to end, so that its runs are over at a known
-    // time.
+    // The lease of a worker that may be lost is left to expire, so that its runs are over at a
+    // known time.
     long overAtMs = bounds.latestEndMs(instance, nowMs);
-    boolean renews =
+    boolean renewsLease =
         instance.lostPolls == 0
             && !instance.silent
             && !instance.hasUnknownRuns
             && instance.hasRuns()
             && overAtMs > instance.leaseOverAtMs();
-    long deadlineMs = renews ? instance.grantLease(overAtMs, nowMs) : 0;
+    long deadlineMs = renewsLease ? instance.grantLease(overAtMs, nowMs) : 0;
     outbox.add(
         new HostEffect.PollCall(
             instance.id(),
@@ -97,7 +98,10 @@
             RunController.callOptions(instance, instance.lostPolls, waitMs)));
   }
 
-  /** Until a list shows what is there no run is ordered, so none waits for the first one. */
+  /**
+   * Returns how long a worker may delay its response. The first list is requested without delay, as
+   * no run is started before it.
+   */
   private long waitMs(WorkerInstance instance, long nowMs) {
     if (instance.silent || !instance.polled) {
       return 0;
@@ -109,7 +113,7 @@
     return Math.min(maxMs, msUntilStopsComplete(instance, nowMs));
   }
 
-  /** A list that is asked for at that time shows that a stopped run is over. */
+  /** Returns the time until a list can show that a stopped run is over. */
   private long msUntilStopsComplete(WorkerInstance instance, long nowMs) {
     return instance.runs().stream()
         .filter(run -> run.state == HostedRun.State.STOPPED)
@@ -118,33 +122,33 @@
         .orElse(Long.MAX_VALUE);
   }
 
-  /** Takes a worker's list of its runs, or that none came. */
-  void pollCompleted(WorkerInstance instance, PollResult answer, long nowMs) {
+  /** Handles the result of a poll. */
+  void pollCompleted(WorkerInstance instance, PollResult result, long nowMs) {
     instance.pollPending = false;
-    if (answer instanceof PollResult.Listed listed
+    if (result instanceof PollResult.Listed listed
         && listed.startedAtEpochMs() > instance.startedAtEpochMs()) {
       instanceRestarted(instance, listed, nowMs);
       return;
     }
-    switch (answer) {
-      // Another life, or whatever tells no birth, says nothing of this one.
+    switch (result) {
+      // A list of another instance, or without a start time, says nothing about this instance.
       case PollResult.Listed listed when listed.startedAtEpochMs() != instance.startedAtEpochMs() ->
           recordLostPoll(instance, nowMs);
       case PollResult.Listed listed -> {
         boolean newEnds = processList(instance, listed, nowMs);
-        boolean quick = !newEnds && nowMs - instance.pollSentAtMs < MIN_POLL_INTERVAL_MS;
-        instance.nextPollAtMs = quick ? nowMs + MIN_POLL_INTERVAL_MS : nowMs;
+        boolean respondedAtOnce = !newEnds && nowMs - instance.pollSentAtMs < MIN_POLL_INTERVAL_MS;
+        instance.nextPollAtMs = respondedAtOnce ? nowMs + MIN_POLL_INTERVAL_MS : nowMs;
       }
       case PollResult.Fenced fenced -> {
         instance.updateClock(fenced.workerClockMs(), nowMs);
         runController.raiseToken();
       }
       case PollResult.Unanswered unanswered -> recordLostPoll(instance, nowMs);
-      case PollResult.OtherInstance gone -> {
-        runController.endInstance(instance, "hold met another life", nowMs);
+      case PollResult.OtherInstance other -> {
+        runController.endInstance(instance, "poll reached another instance", nowMs);
         return;
       }
-      case PollResult.ConnectionRefused nobody -> {
+      case PollResult.ConnectionRefused refused -> {
         runController.recordRefusedConnection(instance, nowMs);
         instance.lostPolls++;
         instance.nextPollAtMs = nowMs + SILENT_RETRY_MS;
@@ -155,17 +159,20 @@
     }
   }
 
-  /** Takes the list of a later life, which answered a call that was meant for an earlier one. */
+  /** Handles the list of a restarted instance that responded to a call for its predecessor. */
   private void instanceRestarted(WorkerInstance former, PollResult.Listed listed, long nowMs) {
     WorkerInfo info = former.info().asRestarted(listed.startedAtEpochMs());
-    WorkerInstance later = new WorkerInstance(info, timing, nowMs);
+    WorkerInstance restarted = new WorkerInstance(info, timing, nowMs);
     runController.raiseToken();
-    instances.add(later);
-    runController.instanceRestarted(former, later, nowMs);
-    poll(later, nowMs);
+    instances.add(restarted);
+    runController.instanceRestarted(former, restarted, nowMs);
+    poll(restarted, nowMs);
   }
 
-  /** One lost call says nothing of the worker; to wait for the next would hide its ends. */
+  /**
+   * Records a lost poll. A single loss says nothing about the worker, so the next poll is sent at
+   * once: a pause would hide ends.
+   */
   private void recordLostPoll(WorkerInstance instance, long nowMs) {
     instance.lostPolls++;
     instance.callTimeout.recordLoss(nowMs);
@@ -210,11 +217,11 @@
   }
 
   private void recordProgress(WorkerInstance instance, PollResult.Listed listed, long nowMs) {
-    for (PollResult.Running row : listed.running()) {
+    for (PollResult.Running entry : listed.running()) {
       instance
-          .find(row.run())
+          .find(entry.run())
           .filter(run -> run.state == HostedRun.State.RUNNING)
-          .ifPresent(run -> instance.progress.recordProgress(run, row.percent(), nowMs));
+          .ifPresent(run -> instance.progress.recordProgress(run, entry.percent(), nowMs));
     }
     if (instance.progress.judge(nowMs)) {
       outbox.logDecision("workerPace", "", instance.id(), "pace=" + instance.progress.pace(nowMs));
@@ -235,7 +242,10 @@
     }
   }
 
-  /** An earlier life of this host ordered it, or it was taken for over before it was. */
+  /**
+   * Records the end of an unknown run: a former incarnation of this host started it, or this host
+   * assumed its end too early.
+   */
   private void recordUnknownEnd(WorkerInstance instance, PollResult.Ended ended) {
     unknownEndCount++;
     String outcome = "run=%d end=%s".formatted(ended.run().number(), ended.end());
@@ -251,35 +261,35 @@
       instance.recordSuccess(run, nowMs);
     }
     Room need = run.need;
-    boolean wasTight = instance.isTightFor(need);
+    boolean wasNearlyFull = instance.isNearlyFullFor(need);
     runController.endRun(instance, run, end, nowMs);
-    if (wasTight) {
+    if (wasNearlyFull) {
       roomAllocator.reserve(instance, need, nowMs);
     }
   }
 
   /**
-   * A run that is not in a list is not there if nothing can start it any more: its stop was
-   * answered before the list was asked for, or the deadlines of its orders had passed.
+   * Ends a run that is missing in a list if it can't start any more: its stop was confirmed before
+   * the list was requested, or the deadlines of its start calls had passed.
    */
   private void endIfGone(WorkerInstance instance, HostedRun run, PollResult.Listed listed) {
-    boolean barred =
+    boolean startsImpossible =
         switch (run.state) {
           case STOPPED -> instance.pollSentAtMs >= run.stopSentAtMs + timing.killGraceMs();
           case STOPPING -> instance.pollSentAtMs >= run.startCallsExpireAtMs;
           case ORDERED, RUNNING -> false;
         };
-    if (barred && !listed.contains(run.run)) {
+    if (startsImpossible && !listed.contains(run.run)) {
       runController.endRun(instance, run, RunEnd.STOPPED);
     }
   }
 
-  /** A worker that is not heard any more has killed its runs once its lease is over. */
+  /** Ends the runs of a silent worker whose lease is over: the worker has killed them by then. */
   void endRunsAfterLease(WorkerInstance instance, long nowMs) {
     if (!instance.silent || !instance.isLeaseOver(nowMs)) {
       return;
     }
-    // An order of a former life of the worker may be carried out beyond the lease of this one.
+    // A start call to a former instance may be carried out after the lease of this one.
     boolean allOver = instance.runs().stream().allMatch(run -> nowMs >= run.startCallsExpireAtMs);
     if (instance.refusesConnections && allOver) {
       runController.endInstance(instance, "connections refused until its lease was over", nowMs);
--- a/core/src/main/java/io/hingehoist/run/host/package-info.java
+++ b/core/src/main/java/io/hingehoist/run/host/package-info.java
@@ -1,10 +1,10 @@
 /**
- * What a host decides: it stands beside a worker, is the only one to call it, and keeps its room,
- * its lease and the ledger of its runs.
+ * The decisions of a host, the process that runs beside a worker. It is the only process that calls
+ * the worker, and manages the worker's room, lease and runs.
  *
- * <p>In come heartbeats of workers, orders and heartbeats of owners, answers of calls and the time;
- * out go {@link io.hingehoist.run.host.HostEffect}s. Begin with {@link
- * io.hingehoist.run.host.WorkerHost}, which hands each event to the part that decides. All of it is
- * free of input and output, and one thread owns it.
+ * <p>The inputs are heartbeats of workers, orders and heartbeats of owners, results of calls and
+ * the time; the outputs are {@link io.hingehoist.run.host.HostEffect}s. The entry point is {@link
+ * io.hingehoist.run.host.WorkerHost}, which delegates each event. The package performs no input or
+ * output. Its classes are not thread-safe: they are confined to the event-loop thread.
  */
 package io.hingehoist.run.host;
--- a/core/src/test/java/io/hingehoist/run/host/AdaptiveTimeoutTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/AdaptiveTimeoutTest.java
@@ -7,38 +7,38 @@
 
 public final class AdaptiveTimeoutTest {
   @Test
-  public void quickAnswersMakeItShort() {
-    AdaptiveTimeout times = new AdaptiveTimeout();
-    long initialMs = times.timeoutMs();
+  public void fastResponsesShortenTheTimeout() {
+    AdaptiveTimeout timeout = new AdaptiveTimeout();
+    long initialMs = timeout.timeoutMs();
     for (int i = 0; i < 50; i++) {
-      times.recordResponse(1 + i % 2);
+      timeout.recordResponse(1 + i % 2);
     }
-    assertTrue(times.timeoutMs() < initialMs);
-    assertEquals(times.timeoutMs(), 20);
+    assertTrue(timeout.timeoutMs() < initialMs);
+    assertEquals(timeout.timeoutMs(), 20);
   }
 
   @Test
-  public void slowAnswersMakeItLongWithABound() {
-    AdaptiveTimeout times = new AdaptiveTimeout();
+  public void slowResponsesLengthenTheTimeoutUpToTheMaximum() {
+    AdaptiveTimeout timeout = new AdaptiveTimeout();
     for (int i = 0; i < 50; i++) {
-      times.recordResponse(i % 2 == 0 ? 20 : 40);
+      timeout.recordResponse(i % 2 == 0 ? 20 : 40);
     }
-    assertTrue(times.timeoutMs() > 40);
+    assertTrue(timeout.timeoutMs() > 40);
     for (int i = 0; i < 50; i++) {
-      times.recordResponse(5_000);
+      timeout.recordResponse(5_000);
     }
-    assertEquals(times.timeoutMs(), 120);
+    assertEquals(timeout.timeoutMs(), 120);
   }
 
   @Test
-  public void lossesDoubleItUntilTheNextAnswer() {
-    AdaptiveTimeout times = new AdaptiveTimeout();
-    times.recordResponse(1);
-    times.recordLoss(0);
-    assertEquals(times.timeoutMs(), 40);
-    times.recordLoss(0);
-    assertEquals(times.timeoutMs(), 80);
-    times.recordResponse(1);
-    assertEquals(times.timeoutMs(), 20);
+  public void lossesDoubleTheTimeoutUntilTheNextResponse() {
+    AdaptiveTimeout timeout = new AdaptiveTimeout();
+    timeout.recordResponse(1);
+    timeout.recordLoss(0);
+    assertEquals(timeout.timeoutMs(), 40);
+    timeout.recordLoss(0);
+    assertEquals(timeout.timeoutMs(), 80);
+    timeout.recordResponse(1);
+    assertEquals(timeout.timeoutMs(), 20);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/FencingTokenTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/FencingTokenTest.java
@@ -5,16 +5,19 @@
 import org.testng.annotations.Test;
 
 public final class FencingTokenTest {
-  private static final int BIRTHS_OF_YEARS = 10_000;
+  private static final int RESTARTS_IN_YEARS = 10_000;
 
-  /** The token turned negative at the 54th raise, and the worker refused its host for good. */
+  /**
+   * Guards against an overflow at the 54th raise: a negative token made the worker refuse its host
+   * permanently.
+   */
   @Test
-  public void itRisesAtEachBirthOfAWorkerWithoutOverflow() {
+  public void theTokenRisesAtEachWorkerRestartWithoutOverflow() {
     FencingToken token = new FencingToken(1_800_000_000_000L);
-    for (int birth = 1; birth <= BIRTHS_OF_YEARS; birth++) {
+    for (int restart = 1; restart <= RESTARTS_IN_YEARS; restart++) {
       long before = token.value();
       token.raise();
-      assertTrue(token.value() > before, "birth " + birth + ": " + token.value());
+      assertTrue(token.value() > before, "restart " + restart + ": " + token.value());
     }
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/HostFixture.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostFixture.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A host whose events a test plays, with what it asked for after the last of them. */
+/** A host that receives simulated events, with the effects of the last event. */
 final class HostFixture {
   static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
   static final long SESSION = 7;
@@ -23,39 +23,42 @@
     this.host = host;
   }
 
-  /** Returns a host that started long ago, at a time; no zone is evacuated. */
-  static HostFixture startedBefore(long nowMs) {
+  /**
+   * Returns a host that started so long before a time that the runs of its former incarnation are
+   * over; no zone is evacuated.
+   */
+  static HostFixture startedLongBefore(long nowMs) {
     long startedAtMs = nowMs - TIMING.workerOverAfterMs();
     return new HostFixture(
         ZoneFixtures.noneEvacuated(WorkerHost.create("h", 1, "z", TIMING, 100, startedAtMs)));
   }
 
-  /** Returns an account of a worker that is ready and tells no birth. */
+  /** Returns the heartbeat of a worker that is ready and reports no start time. */
   static WorkerInfo worker(String id, Room capacity, long version) {
     return new WorkerInfo(id, "s", "10.0.0.1:1", "z", false, capacity, List.of(), version, 500);
   }
 
-  /** Takes up what the host asked for since the last time. */
+  /** Replaces the collected effects with those since the last call. */
   void collectEffects(long nowMs) {
     host.publishWorkers(nowMs);
     effects.clear();
     effects.addAll(host.drainEffects());
   }
 
-  /** Has the owner of a session order a run. */
+  /** Sends an order for a run as the owner of a session. */
   void order(long session, String worker, long nowMs, RunRef run) {
     StartRuns message = new StartRuns(++order, worker, "j", "", 100, NEED, List.of(run));
     host.startRuns(session, message, nowMs);
     collectEffects(nowMs);
   }
 
-  /** Has the owner of a session order a run, and its worker say that it runs. */
+  /** Sends an order for a run as the owner of a session, and confirms the start as the worker. */
   void start(long session, String worker, long nowMs, RunRef run) {
     order(session, worker, nowMs, run);
     host.startCallCompleted(worker, run, new StartResult.Started(501), nowMs);
   }
 
-  /** Answers the call for a worker's list. */
+  /** Answers the poll of a worker. */
   void answerPoll(String worker, long nowMs, List<RunRef> running, PollResult.Ended... ended) {
     host.pollCallCompleted(worker, PollResults.listed(nowMs, running, ended), nowMs);
     collectEffects(nowMs);
--- a/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
@@ -12,29 +12,32 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A run of a lost owner went on beyond the time after which others take it for over. */
+/**
+ * Guards against a run of a lost owner that continues beyond the time at which other processes
+ * assume its end.
+ */
 public final class OverdueStopTest {
-  private static final long LOST = 7;
-  private static final long OTHER = 8;
+  private static final long LOST_OWNER_SESSION = 7;
+  private static final long OTHER_OWNER_SESSION = 8;
   private static final String WORKER = "w1";
-  private static final RunRef OF_LOST = new RunRef("j.0.0", 1);
-  private static final RunRef OF_OTHER = new RunRef("k.0.0", 1);
-  private static final RunRef LATER = new RunRef("l.0.0", 1);
+  private static final RunRef RUN_OF_LOST_OWNER = new RunRef("j.0.0", 1);
+  private static final RunRef RUN_OF_OTHER_OWNER = new RunRef("k.0.0", 1);
+  private static final RunRef LATER_RUN = new RunRef("l.0.0", 1);
 
   private HostFixture fixture;
 
   @BeforeMethod
-  public void oneWorkerWithRunsOfTwoOwners() {
-    fixture = HostFixture.startedBefore(1_000);
+  public void createWorkerWithRunsOfTwoOwners() {
+    fixture = HostFixture.startedLongBefore(1_000);
     fixture.host.workerHeartbeat(HostFixture.worker(WORKER, new Room(4_000, 100, 0), 1), 1_000);
     fixture.collectEffects(1_000);
     fixture.answerPoll(WORKER, 1_000, List.of());
-    fixture.host.sessionOpened(LOST, "lost", 1_000);
-    fixture.host.sessionOpened(OTHER, "other", 1_000);
-    heartbeat(LOST, 1_000);
-    heartbeat(OTHER, 1_000);
-    fixture.start(LOST, WORKER, 1_000, OF_LOST);
-    fixture.start(OTHER, WORKER, 1_000, OF_OTHER);
+    fixture.host.sessionOpened(LOST_OWNER_SESSION, "lost", 1_000);
+    fixture.host.sessionOpened(OTHER_OWNER_SESSION, "other", 1_000);
+    heartbeat(LOST_OWNER_SESSION, 1_000);
+    heartbeat(OTHER_OWNER_SESSION, 1_000);
+    fixture.start(LOST_OWNER_SESSION, WORKER, 1_000, RUN_OF_LOST_OWNER);
+    fixture.start(OTHER_OWNER_SESSION, WORKER, 1_000, RUN_OF_OTHER_OWNER);
     fixture.collectEffects(1_000);
   }
 
@@ -44,139 +47,145 @@
   }
 
   private void loseOwner(long nowMs) {
-    heartbeat(OTHER, nowMs);
-    fixture.host.sessionEnded(LOST, "its process is gone", nowMs);
+    heartbeat(OTHER_OWNER_SESSION, nowMs);
+    fixture.host.sessionEnded(LOST_OWNER_SESSION, "its process is gone", nowMs);
     fixture.collectEffects(nowMs);
-    assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), OF_LOST);
+    assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), RUN_OF_LOST_OWNER);
   }
 
-  private void leaveStopUnanswered(long nowMs) {
-    fixture.host.stopCallCompleted(WORKER, OF_LOST, false, nowMs);
+  private void loseStopCall(long nowMs) {
+    fixture.host.stopCallCompleted(WORKER, RUN_OF_LOST_OWNER, false, nowMs);
     fixture.collectEffects(nowMs);
   }
 
   private void answerPoll(long nowMs) {
-    fixture.answerPoll(WORKER, nowMs, List.of(OF_LOST, OF_OTHER));
+    fixture.answerPoll(WORKER, nowMs, List.of(RUN_OF_LOST_OWNER, RUN_OF_OTHER_OWNER));
   }
 
   private long newestDeadlineMs() {
     return fixture.all(HostEffect.PollCall.class).getLast().deadlineMs();
   }
 
-  /** Returns when everything is over by a deadline that is sent right after a list. */
+  /** Returns when all runs are over under a deadline that is sent immediately after a list. */
   private static long overAtMs(long deadlineMs, long listedAtMs) {
     long leaseMs = deadlineMs - PollResults.listed(listedAtMs, List.of()).workerClockMs();
     return listedAtMs + (long) Math.ceil(leaseMs * 1.02) + HostFixture.TIMING.killGraceMs();
   }
 
   @Test
-  public void theLeaseOfAWorkerIsNotRenewedWhileAStopHasNoAnswer() {
+  public void theLeaseOfAWorkerIsNotRenewedWhileAStopIsUnanswered() {
     loseOwner(1_400);
-    leaveStopUnanswered(1_430);
+    loseStopCall(1_430);
     answerPoll(1_460);
     answerPoll(1_510);
     assertEquals(newestDeadlineMs(), 0);
   }
 
   @Test
-  public void aStartKeepsNoRunGoingThatIsToBeOver() {
+  public void aStartDoesNotExtendTheLeaseBeyondTheEndOfAnOverdueRun() {
     loseOwner(1_400);
-    leaveStopUnanswered(1_430);
+    loseStopCall(1_430);
     answerPoll(1_460);
-    fixture.order(OTHER, WORKER, 1_460, LATER);
+    fixture.order(OTHER_OWNER_SESSION, WORKER, 1_460, LATER_RUN);
     long deadlineMs = fixture.all(HostEffect.StartCall.class).getFirst().deadlineMs();
     long mustEndByMs = 1_400 + HostFixture.TIMING.workerOverAfterMs();
     assertTrue(overAtMs(deadlineMs, 1_460) <= mustEndByMs, "deadline " + deadlineMs);
   }
 
   @Test
-  public void nothingStartsOnALeaseThatIsAboutToEnd() {
+  public void nothingStartsUnderALeaseThatIsAboutToExpire() {
     loseOwner(1_400);
-    leaveStopUnanswered(1_430);
+    loseStopCall(1_430);
     answerPoll(1_460);
-    heartbeat(OTHER, 2_000);
+    heartbeat(OTHER_OWNER_SESSION, 2_000);
     answerPoll(2_100);
-    fixture.order(OTHER, WORKER, 2_100, LATER);
+    fixture.order(OTHER_OWNER_SESSION, WORKER, 2_100, LATER_RUN);
     assertEquals(fixture.all(HostEffect.StartCall.class), List.of());
-    assertEquals(fixture.sent(OTHER, RunNotStarted.class).getFirst().run(), LATER);
+    assertEquals(
+        fixture.sent(OTHER_OWNER_SESSION, RunNotStarted.class).getFirst().run(), LATER_RUN);
   }
 
   @Test
   public void theLeaseIsRenewedAgainOnceTheStoppedRunIsOver() {
     loseOwner(1_400);
-    leaveStopUnanswered(1_430);
+    loseStopCall(1_430);
     answerPoll(1_460);
-    fixture.host.stopCallCompleted(WORKER, OF_LOST, true, 1_470);
+    fixture.host.stopCallCompleted(WORKER, RUN_OF_LOST_OWNER, true, 1_470);
     fixture.answerPoll(
-        WORKER, 1_540, List.of(OF_OTHER), new PollResult.Ended(1, OF_LOST, RunEnd.STOPPED));
+        WORKER,
+        1_540,
+        List.of(RUN_OF_OTHER_OWNER),
+        new PollResult.Ended(1, RUN_OF_LOST_OWNER, RunEnd.STOPPED));
     assertTrue(newestDeadlineMs() > 0);
   }
 
   @Test
-  public void theLeaseIsNotRenewedForAnOwnerWhoseLeaseIsOver() {
-    heartbeat(OTHER, 1_600);
-    long ownerLeaseOverMs = 1_000 + HostFixture.TIMING.ownerLeaseMs();
-    answerPoll(ownerLeaseOverMs - 10);
-    heartbeat(OTHER, ownerLeaseOverMs + 100);
-    answerPoll(ownerLeaseOverMs + 150);
+  public void theLeaseIsNotRenewedForAnOwnerWhoseLeaseHasExpired() {
+    heartbeat(OTHER_OWNER_SESSION, 1_600);
+    long ownerLeaseExpiresAtMs = 1_000 + HostFixture.TIMING.ownerLeaseMs();
+    answerPoll(ownerLeaseExpiresAtMs - 10);
+    heartbeat(OTHER_OWNER_SESSION, ownerLeaseExpiresAtMs + 100);
+    answerPoll(ownerLeaseExpiresAtMs + 150);
     assertEquals(newestDeadlineMs(), 0);
   }
 
   @Test
-  public void runsOfAKilledOwnerAreOverBeforeItsCallersReturn() {
-    long callersReturnMs = 1_000 + 2 * HostFixture.TIMING.ownerLeaseMs();
+  public void runsOfAKilledOwnerAreOverBeforeItsCallersResubmit() {
+    long callersResubmitAtMs = 1_000 + 2 * HostFixture.TIMING.ownerLeaseMs();
     for (long atMs = 1_050; atMs <= 1_640; atMs += 50) {
-      heartbeat(OTHER, atMs);
+      heartbeat(OTHER_OWNER_SESSION, atMs);
       answerPoll(atMs);
       long deadlineMs = newestDeadlineMs();
-      assertTrue(deadlineMs == 0 || overAtMs(deadlineMs, atMs) < callersReturnMs, "at " + atMs);
+      assertTrue(deadlineMs == 0 || overAtMs(deadlineMs, atMs) < callersResubmitAtMs, "at " + atMs);
     }
   }
 
   @Test
-  public void aStrangersRunIsNotKeptGoingWhileItsStopHasNoAnswer() {
-    fixture.answerPoll(WORKER, 1_050, List.of(LATER, OF_LOST, OF_OTHER));
-    assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), LATER);
+  public void theLeaseIsNotRenewedForAnUnknownRunWhoseStopIsUnanswered() {
+    fixture.answerPoll(WORKER, 1_050, List.of(LATER_RUN, RUN_OF_LOST_OWNER, RUN_OF_OTHER_OWNER));
+    assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), LATER_RUN);
     assertEquals(newestDeadlineMs(), 0);
   }
 
   @Test
-  public void aRepeatedStartMovesTheTimeAtWhichItsOrdersAreVoid() {
-    fixture.order(OTHER, WORKER, 1_010, LATER);
-    heartbeat(OTHER, 1_300);
-    fixture.host.startCallCompleted(WORKER, LATER, new StartResult.Unanswered(), 1_300);
-    heartbeat(OTHER, 1_310);
-    fixture.host.stopRun(OTHER, LATER, 1_310);
-    long firstIsVoidMs = 1_010 + HostFixture.TIMING.workerOverAfterMs();
-    heartbeat(OTHER, firstIsVoidMs);
-    fixture.answerPoll(WORKER, firstIsVoidMs, List.of());
-    fixture.host.onTick(firstIsVoidMs + 50);
-    fixture.collectEffects(firstIsVoidMs + 50);
-    fixture.answerPoll(WORKER, firstIsVoidMs + 60, List.of());
-    assertTrue(fixture.sent(OTHER, RunEnded.class).stream().noneMatch(e -> e.run().equals(LATER)));
+  public void aRepeatedStartExtendsTheTimeAtWhichStartCallsExpire() {
+    fixture.order(OTHER_OWNER_SESSION, WORKER, 1_010, LATER_RUN);
+    heartbeat(OTHER_OWNER_SESSION, 1_300);
+    fixture.host.startCallCompleted(WORKER, LATER_RUN, new StartResult.Unanswered(), 1_300);
+    heartbeat(OTHER_OWNER_SESSION, 1_310);
+    fixture.host.stopRun(OTHER_OWNER_SESSION, LATER_RUN, 1_310);
+    long firstCallExpiresAtMs = 1_010 + HostFixture.TIMING.workerOverAfterMs();
+    heartbeat(OTHER_OWNER_SESSION, firstCallExpiresAtMs);
+    fixture.answerPoll(WORKER, firstCallExpiresAtMs, List.of());
+    fixture.host.onTick(firstCallExpiresAtMs + 50);
+    fixture.collectEffects(firstCallExpiresAtMs + 50);
+    fixture.answerPoll(WORKER, firstCallExpiresAtMs + 60, List.of());
+    assertTrue(
+        fixture.sent(OTHER_OWNER_SESSION, RunEnded.class).stream()
+            .noneMatch(e -> e.run().equals(LATER_RUN)));
   }
 
   @Test
-  public void aRunThatWasNeverThereIsOverOnceItsDeadlineHasPassed() {
-    heartbeat(LOST, 1_300);
-    heartbeat(OTHER, 1_300);
-    fixture.order(LOST, WORKER, 1_300, LATER);
-    fixture.host.startCallCompleted(WORKER, LATER, new StartResult.Unanswered(), 1_330);
+  public void aRunThatNeverStartedIsOverOnceItsDeadlineHasPassed() {
+    heartbeat(LOST_OWNER_SESSION, 1_300);
+    heartbeat(OTHER_OWNER_SESSION, 1_300);
+    fixture.order(LOST_OWNER_SESSION, WORKER, 1_300, LATER_RUN);
+    fixture.host.startCallCompleted(WORKER, LATER_RUN, new StartResult.Unanswered(), 1_330);
     loseOwner(1_340);
-    long leaseOverMs = 1_330 + HostFixture.TIMING.workerOverAfterMs();
-    heartbeat(OTHER, leaseOverMs);
+    long leaseOverAtMs = 1_330 + HostFixture.TIMING.workerOverAfterMs();
+    heartbeat(OTHER_OWNER_SESSION, leaseOverAtMs);
     assertEquals(fixture.host.runCount(), 3);
     fixture.answerPoll(
         WORKER,
-        leaseOverMs,
+        leaseOverAtMs,
         List.of(),
-        new PollResult.Ended(1, OF_LOST, RunEnd.LAPSED),
-        new PollResult.Ended(2, OF_OTHER, RunEnd.LAPSED));
-    assertEquals(fixture.sent(OTHER, RunEnded.class).getFirst().end(), RunEnd.LAPSED);
+        new PollResult.Ended(1, RUN_OF_LOST_OWNER, RunEnd.LAPSED),
+        new PollResult.Ended(2, RUN_OF_OTHER_OWNER, RunEnd.LAPSED));
+    assertEquals(fixture.sent(OTHER_OWNER_SESSION, RunEnded.class).getFirst().end(), RunEnd.LAPSED);
     assertEquals(fixture.host.runCount(), 1);
-    fixture.host.onTick(leaseOverMs + 50);
-    fixture.collectEffects(leaseOverMs + 50);
-    fixture.answerPoll(WORKER, leaseOverMs + 60, List.of());
+    fixture.host.onTick(leaseOverAtMs + 50);
+    fixture.collectEffects(leaseOverAtMs + 50);
+    fixture.answerPoll(WORKER, leaseOverAtMs + 60, List.of());
     assertEquals(fixture.host.runCount(), 0);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/PollResults.java
+++ b/core/src/test/java/io/hingehoist/run/host/PollResults.java
@@ -3,16 +3,16 @@
 import io.hingehoist.message.RunRef;
 import java.util.List;
 
-/** Static helpers for answers of a worker that a test plays. */
+/** Static helpers that create poll results of a simulated worker. */
 final class PollResults {
   private static final long CLOCK_AHEAD_MS = 500_000;
 
   private PollResults() {}
 
-  /** Returns a list of runs that have not got on yet, and of ends. */
+  /** Returns a list of runs without progress and of ends. */
   static PollResult.Listed listed(long nowMs, List<RunRef> running, PollResult.Ended... ended) {
-    List<PollResult.Running> rows =
+    List<PollResult.Running> entries =
         running.stream().map(run -> new PollResult.Running(run, 0)).toList();
-    return new PollResult.Listed(CLOCK_AHEAD_MS + nowMs, rows, List.of(ended));
+    return new PollResult.Listed(CLOCK_AHEAD_MS + nowMs, entries, List.of(ended));
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/ProgressMonitorTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/ProgressMonitorTest.java
@@ -30,10 +30,8 @@
     return new HostedRun(ref, order, 1, 0);
   }
 
-  /**
-   * Shows runs of three jobs that do so many hundredths in each 20 ms, from one time to another.
-   */
-  private void show(int percentEach, long fromMs, long toMs) {
+  /** Reports runs of three jobs that advance by a given percentage every 20 ms. */
+  private void reportProgress(int percentEach, long fromMs, long toMs) {
     List<HostedRun> runs =
         List.of(run("a", 0, ESTIMATE_MS), run("b", 0, ESTIMATE_MS), run("c", 0, ESTIMATE_MS));
     for (long nowMs = fromMs; nowMs <= toMs; nowMs += 20) {
@@ -43,64 +41,64 @@
       }
       monitor.judge(nowMs);
     }
-    runs.forEach(monitor::forget);
+    runs.forEach(monitor::remove);
   }
 
   @Test
-  public void runsThatGetOnAsEstimatedAreUsual() {
-    show(10, 0, 100);
+  public void runsThatAdvanceAsEstimatedAreUsual() {
+    reportProgress(10, 0, 100);
     assertEquals(monitor.pace(100), Pace.USUAL);
     assertFalse(monitor.isOnTrial());
   }
 
   @Test
-  public void aStandstillIsKnownWithinATenthOfASecond() {
-    show(0, 0, 100);
+  public void aStalledWorkerIsDetectedWithin100Ms() {
+    reportProgress(0, 0, 100);
     assertEquals(monitor.pace(100), Pace.STALLED);
   }
 
   @Test
-  public void aSlowWorkerIsKnownBeforeAnyRunEnds() {
-    show(2, 0, 120);
+  public void aSlowWorkerIsDetectedBeforeAnyRunEnds() {
+    reportProgress(2, 0, 120);
     assertEquals(monitor.pace(120), Pace.SLOW);
   }
 
   @Test
-  public void slownessThatIsSeenOnceMayBeAWrongEstimate() {
-    show(2, 0, 60);
-    show(10, 100, 160);
+  public void aSingleObservationOfSlownessIsIgnored() {
+    reportProgress(2, 0, 60);
+    reportProgress(10, 100, 160);
     assertEquals(monitor.pace(160), Pace.USUAL);
   }
 
   @Test
-  public void estimatesThatAreWrongEverywhereBecomeTheUsualRate() {
+  public void consistentlyWrongEstimatesBecomeTheUsualRate() {
     for (int i = 0; i < 300; i++) {
-      show(6, i * 200L, i * 200L + 100);
+      reportProgress(6, i * 200L, i * 200L + 100);
     }
-    show(3, 60_000, 60_100);
+    reportProgress(3, 60_000, 60_100);
     assertEquals(monitor.pace(60_100), Pace.USUAL);
   }
 
   @Test
-  public void oneLongRunIsNotJudgedByAHundredthThatIsYetToCome() {
-    HostedRun hour = run("a", 0, 3_600_000);
+  public void aLongRunIsNotJudgedBeforeItsFirstPercent() {
+    HostedRun hourLongRun = run("a", 0, 3_600_000);
     for (long nowMs = 0; nowMs < 10_000; nowMs += 50) {
-      monitor.recordProgress(hour, 0, nowMs);
+      monitor.recordProgress(hourLongRun, 0, nowMs);
       assertFalse(monitor.judge(nowMs));
     }
     assertEquals(monitor.pace(10_000), Pace.USUAL);
   }
 
   @Test
-  public void aWorkerIsTriedAfterARestThatGrowsUntilItIsWell() {
-    show(0, 0, 100);
+  public void aWorkerIsTriedAfterAPauseThatGrowsUntilItRecovers() {
+    reportProgress(0, 0, 100);
     assertEquals(monitor.pace(500), Pace.STALLED);
     assertEquals(monitor.pace(600), Pace.USUAL);
     assertTrue(monitor.isOnTrial());
-    show(0, 700, 800);
+    reportProgress(0, 700, 800);
     assertEquals(monitor.pace(1_500), Pace.STALLED);
     assertEquals(monitor.pace(1_900), Pace.USUAL);
-    show(10, 2_000, 2_100);
+    reportProgress(10, 2_000, 2_100);
     assertFalse(monitor.isOnTrial());
   }
 
--- a/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
@@ -12,25 +12,28 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tasks ran twice at once: their worker refused a connection and went on with its runs. */
+/**
+ * Guards against tasks that run twice at the same time because their worker refused a connection
+ * but continued its runs.
+ */
 public final class RefusedConnectionTest {
   private static final long SESSION = HostFixture.SESSION;
   private static final String WORKER = "w1";
-  private static final RunRef GOING_ON = new RunRef("j.0.0", 1);
+  private static final RunRef RUNNING = new RunRef("j.0.0", 1);
   private static final RunRef ORDERED = new RunRef("j.0.1", 1);
-  private static final long LEASE_OVER_MS = 1_000 + HostFixture.TIMING.workerOverAfterMs();
+  private static final long LEASE_OVER_AT_MS = 1_000 + HostFixture.TIMING.workerOverAfterMs();
 
   private HostFixture fixture;
 
   @BeforeMethod
-  public void oneWorkerWithARun() {
-    fixture = HostFixture.startedBefore(1_000);
+  public void createWorkerWithARun() {
+    fixture = HostFixture.startedLongBefore(1_000);
     fixture.host.workerHeartbeat(HostFixture.worker(WORKER, new Room(4_000, 100, 0), 1), 1_000);
     fixture.collectEffects(1_000);
     fixture.answerPoll(WORKER, 1_000, List.of());
     fixture.host.sessionOpened(SESSION, "o", 1_000);
     heartbeat(1_000);
-    fixture.start(SESSION, WORKER, 1_000, GOING_ON);
+    fixture.start(SESSION, WORKER, 1_000, RUNNING);
     fixture.collectEffects(1_000);
   }
 
@@ -39,7 +42,7 @@
     fixture.collectEffects(nowMs);
   }
 
-  private void refuseHold(long nowMs) {
+  private void refusePoll(long nowMs) {
     fixture.host.pollCallCompleted(WORKER, new PollResult.ConnectionRefused(), nowMs);
     fixture.collectEffects(nowMs);
   }
@@ -50,8 +53,8 @@
   }
 
   @Test
-  public void aRefusedListDoesNotEndTheRunsOfAWorker() {
-    refuseHold(1_020);
+  public void aRefusedPollDoesNotEndTheRunsOfAWorker() {
+    refusePoll(1_020);
     assertEquals(fixture.sent(RunEnded.class), List.of());
     assertEquals(fixture.host.runCount(), 1);
   }
@@ -78,28 +81,28 @@
 
   @Test
   public void theRunsOfAWorkerThatRefusesConnectionsAreLostOnceItsLeaseIsOver() {
-    refuseHold(1_020);
+    refusePoll(1_020);
     heartbeat(1_500);
-    tick(LEASE_OVER_MS - 1);
+    tick(LEASE_OVER_AT_MS - 1);
     assertEquals(fixture.sent(RunEnded.class), List.of());
-    refuseHold(LEASE_OVER_MS - 1);
-    tick(LEASE_OVER_MS);
+    refusePoll(LEASE_OVER_AT_MS - 1);
+    tick(LEASE_OVER_AT_MS);
     assertEquals(fixture.sent(RunEnded.class).getFirst().end(), RunEnd.LOST);
     WorkerCrashed crash = fixture.sent(WorkerCrashed.class).getFirst();
-    assertEquals(crash.tasks(), List.of(GOING_ON.task()));
-    assertEquals(crash.agoMs(), LEASE_OVER_MS - 1_020);
+    assertEquals(crash.tasks(), List.of(RUNNING.task()));
+    assertEquals(crash.agoMs(), LEASE_OVER_AT_MS - 1_020);
     assertEquals(fixture.host.workerCount(), 0);
   }
 
   @Test
   public void theLeaseOfAWorkerThatRefusesConnectionsIsNotRenewed() {
-    refuseHold(1_020);
+    refusePoll(1_020);
     tick(1_100);
     assertEquals(fixture.all(HostEffect.PollCall.class).getFirst().deadlineMs(), 0);
   }
 
   @Test
-  public void aRefusedStartLeavesTheLeaseOfItsWorkerToEnd() {
+  public void aRefusedStartLetsTheLeaseOfItsWorkerExpire() {
     fixture.order(SESSION, WORKER, 1_010, ORDERED);
     fixture.host.startCallCompleted(WORKER, ORDERED, new StartResult.ConnectionRefused(), 1_012);
     fixture.order(SESSION, WORKER, 1_013, new RunRef("j.0.2", 1));
@@ -111,10 +114,10 @@
   }
 
   @Test
-  public void aWorkerThatAnsweredAgainAndFallsSilentDidNotCrash() {
-    refuseHold(1_020);
+  public void aWorkerThatRespondedAgainAndThenFallsSilentIsNotReportedAsCrashed() {
+    refusePoll(1_020);
     tick(1_100);
-    fixture.answerPoll(WORKER, 1_110, List.of(GOING_ON));
+    fixture.answerPoll(WORKER, 1_110, List.of(RUNNING));
     for (long nowMs = 1_200; nowMs <= 1_400; nowMs += 50) {
       fixture.host.pollCallCompleted(WORKER, new PollResult.Unanswered(), nowMs);
       tick(nowMs);
@@ -127,26 +130,26 @@
   }
 
   @Test
-  public void aWorkerThatAnswersAgainKeepsItsRuns() {
-    refuseHold(1_020);
+  public void aWorkerThatRespondsAgainKeepsItsRuns() {
+    refusePoll(1_020);
     tick(1_100);
-    fixture.answerPoll(WORKER, 1_110, List.of(GOING_ON));
-    tick(LEASE_OVER_MS);
+    fixture.answerPoll(WORKER, 1_110, List.of(RUNNING));
+    tick(LEASE_OVER_AT_MS);
     assertEquals(fixture.sent(RunEnded.class), List.of());
     assertEquals(fixture.host.runCount(), 1);
   }
 
   @Test
-  public void aWorkerThatRefusesConnectionsGetsNothingNew() {
-    refuseHold(1_020);
+  public void aWorkerThatRefusesConnectionsGetsNoNewRuns() {
+    refusePoll(1_020);
     fixture.order(SESSION, WORKER, 1_030, ORDERED);
     assertEquals(fixture.all(HostEffect.StartCall.class), List.of());
     assertEquals(fixture.sent(RunNotStarted.class).getFirst().run(), ORDERED);
   }
 
   @Test
-  public void anotherLifeAtTheAddressEndsTheRunsAtOnce() {
-    refuseHold(1_020);
+  public void anotherInstanceAtTheAddressEndsTheRunsAtOnce() {
+    refusePoll(1_020);
     tick(1_100);
     fixture.host.pollCallCompleted(WORKER, new PollResult.OtherInstance(), 1_110);
     fixture.collectEffects(1_110);
--- a/core/src/test/java/io/hingehoist/run/host/RoomChangesTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RoomChangesTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The room of a worker shrinks below what runs there, and grows again. */
+/** Tests a worker whose capacity shrinks below the need of its runs and grows again. */
 public final class RoomChangesTest {
   private static final Room LARGE = new Room(2_000, 1_000, 0);
   private static final Room SMALL = new Room(1_000, 1_000, 0);
@@ -22,16 +22,16 @@
   private HostFixture fixture;
 
   @BeforeMethod
-  public void fillTheWorker() {
-    fixture = HostFixture.startedBefore(1_000);
-    tell(LARGE, 1, 1_000);
+  public void createFullWorker() {
+    fixture = HostFixture.startedLongBefore(1_000);
+    heartbeat(LARGE, 1, 1_000);
     fixture.host.sessionOpened(HostFixture.SESSION, "o", 1_000);
     answerPoll(1_000, List.of());
     start(1_010, FIRST);
     start(1_011, SECOND);
   }
 
-  private void tell(Room capacity, long version, long nowMs) {
+  private void heartbeat(Room capacity, long version, long nowMs) {
     fixture.host.workerHeartbeat(HostFixture.worker("w", capacity, version), nowMs);
     fixture.collectEffects(nowMs);
   }
@@ -44,7 +44,7 @@
     fixture.start(HostFixture.SESSION, "w", nowMs, run);
   }
 
-  private long starts() {
+  private long startCallCount() {
     return fixture.all(HostEffect.StartCall.class).size();
   }
 
@@ -53,26 +53,26 @@
   }
 
   @Test
-  public void nothingIsStoppedWhenRoomShrinks() {
-    tell(SMALL, 2, 1_020);
+  public void noRunIsStoppedWhenTheCapacityShrinks() {
+    heartbeat(SMALL, 2, 1_020);
     assertEquals(fixture.all(HostEffect.StopCall.class).size(), 0);
     assertEquals(fixture.host.runCount(), 2);
   }
 
   @Test
-  public void nothingStartsUntilItFits() {
-    tell(SMALL, 2, 1_020);
+  public void noRunStartsUntilItFits() {
+    heartbeat(SMALL, 2, 1_020);
     answerPoll(1_030, List.of(SECOND), new PollResult.Ended(1, FIRST, RunEnd.DONE));
     start(1_040, THIRD);
     assertEquals(isRefused(THIRD), true);
     answerPoll(1_050, List.of(), new PollResult.Ended(2, SECOND, RunEnd.DONE));
     start(1_070, THIRD);
-    assertEquals(starts(), 1);
+    assertEquals(startCallCount(), 1);
   }
 
   @Test
-  public void whatIsBeingStoppedStillCounts() {
-    tell(SMALL, 2, 1_020);
+  public void runsBeingStoppedStillOccupyRoom() {
+    heartbeat(SMALL, 2, 1_020);
     answerPoll(1_030, List.of(SECOND), new PollResult.Ended(1, FIRST, RunEnd.DONE));
     fixture.host.stopRun(HostFixture.SESSION, SECOND, 1_031);
     start(1_040, THIRD);
@@ -80,16 +80,16 @@
   }
 
   @Test
-  public void roomThatGrowsAgainIsGivenOut() {
-    tell(SMALL, 2, 1_020);
-    tell(new Room(3_000, 1_000, 0), 3, 1_030);
+  public void roomOfARestoredCapacityIsAssigned() {
+    heartbeat(SMALL, 2, 1_020);
+    heartbeat(new Room(3_000, 1_000, 0), 3, 1_030);
     start(1_040, THIRD);
-    assertEquals(starts(), 1);
+    assertEquals(startCallCount(), 1);
   }
 
   @Test
-  public void ownersSeeAChangeOfRoom() {
-    tell(SMALL, 2, 1_200);
+  public void ownersReceiveAChangedCapacity() {
+    heartbeat(SMALL, 2, 1_200);
     HostRows rows = fixture.sent(HostRows.class).getFirst();
     assertEquals(rows.workers().getFirst().capacity(), SMALL);
   }
--- a/core/src/test/java/io/hingehoist/run/host/RoomReservationsTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RoomReservationsTest.java
@@ -16,31 +16,31 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How a host gives freed room of a full worker to its owners. */
+/** Tests how a host assigns freed room of a full worker to its owners. */
 public final class RoomReservationsTest {
   private static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
   private static final Room CAPACITY = new Room(2_000, 1_000, 0);
   private static final Room NEED = new Room(1_000, 10, 0);
-  private static final long FIRST = 1;
-  private static final long SECOND = 2;
-  private static final RunRef ENDS = new RunRef("j.0.0", 1);
-  private static final RunRef STAYS = new RunRef("j.0.1", 1);
+  private static final long FIRST_SESSION = 1;
+  private static final long SECOND_SESSION = 2;
+  private static final RunRef ENDING_RUN = new RunRef("j.0.0", 1);
+  private static final RunRef REMAINING_RUN = new RunRef("j.0.1", 1);
 
   private final List<HostEffect> effects = new ArrayList<>();
   private WorkerHost host;
   private long order;
 
   @BeforeMethod
-  public void fillAWorker() {
+  public void createFullWorker() {
     host =
         ZoneFixtures.noneEvacuated(
             WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - TIMING.workerOverAfterMs()));
     host.workerHeartbeat(
         new WorkerInfo("w", "s", "10.0.0.1:1", "z", false, CAPACITY, List.of(), 1, 500_000), 1_000);
-    host.sessionOpened(FIRST, "o1", 1_000);
-    host.sessionOpened(SECOND, "o2", 1_000);
+    host.sessionOpened(FIRST_SESSION, "o1", 1_000);
+    host.sessionOpened(SECOND_SESSION, "o2", 1_000);
     answerPoll(1_000, List.of());
-    order(FIRST, 1_000, ENDS, STAYS);
+    order(FIRST_SESSION, 1_000, ENDING_RUN, REMAINING_RUN);
     collectEffects(1_100);
   }
 
@@ -61,18 +61,18 @@
     collectEffects(nowMs);
   }
 
-  private void waiting(long session, int rank, long waitedMs, long nowMs) {
+  private void reportWaitingTask(long session, int rank, long waitedMs, long nowMs) {
     WaitingRow row = new WaitingRow("s", rank, waitedMs, 1);
     host.updateWaitingTasks(session, new OwnerWaiting(List.of(row)), nowMs);
     collectEffects(nowMs);
   }
 
-  private void endOne(long nowMs) {
-    answerPoll(nowMs, List.of(STAYS), new PollResult.Ended(1, ENDS, RunEnd.DONE));
+  private void endOneRun(long nowMs) {
+    answerPoll(nowMs, List.of(REMAINING_RUN), new PollResult.Ended(1, ENDING_RUN, RunEnd.DONE));
   }
 
-  /** Returns the processor room that a connection was shown last; -1 if it was shown nothing. */
-  private long shown(long session) {
+  /** Returns the free CPU in the last rows sent to a session; -1 if none were sent. */
+  private long sentFreeCpuMilli(long session) {
     long cpuMilli = -1;
     for (HostEffect effect : effects) {
       if (effect instanceof HostEffect.SendToOwner to
@@ -84,7 +84,7 @@
     return cpuMilli;
   }
 
-  private long refused() {
+  private long refusalCount() {
     return effects.stream()
         .filter(
             e -> e instanceof HostEffect.SendToOwner to && to.message() instanceof RunNotStarted)
@@ -92,88 +92,92 @@
   }
 
   @Test
-  public void freedRoomIsOfferedToTheOwnerWithTheMostUrgentWork() {
-    waiting(FIRST, 2, 500, 1_101);
-    waiting(SECOND, 0, 10, 1_102);
-    endOne(1_103);
-    assertEquals(shown(SECOND), 1_000);
-    assertEquals(shown(FIRST), -1);
+  public void freedRoomIsReservedForTheOwnerWithTheMostUrgentTasks() {
+    reportWaitingTask(FIRST_SESSION, 2, 500, 1_101);
+    reportWaitingTask(SECOND_SESSION, 0, 10, 1_102);
+    endOneRun(1_103);
+    assertEquals(sentFreeCpuMilli(SECOND_SESSION), 1_000);
+    assertEquals(sentFreeCpuMilli(FIRST_SESSION), -1);
   }
 
   @Test
-  public void ofWorkThatIsAsUrgentTheOldestComesFirst() {
-    waiting(FIRST, 1, 500, 1_101);
-    waiting(SECOND, 1, 10, 1_102);
-    endOne(1_103);
-    assertEquals(shown(FIRST), 1_000);
-    assertEquals(shown(SECOND), -1);
+  public void amongEquallyUrgentTasksTheOldestComesFirst() {
+    reportWaitingTask(FIRST_SESSION, 1, 500, 1_101);
+    reportWaitingTask(SECOND_SESSION, 1, 10, 1_102);
+    endOneRun(1_103);
+    assertEquals(sentFreeCpuMilli(FIRST_SESSION), 1_000);
+    assertEquals(sentFreeCpuMilli(SECOND_SESSION), -1);
   }
 
   @Test
-  public void offeredRoomIsNotForOthers() {
-    waiting(SECOND, 0, 10, 1_102);
-    endOne(1_103);
-    order(FIRST, 1_104, new RunRef("k.0.0", 1));
-    assertEquals(refused(), 1);
-    order(SECOND, 1_105, new RunRef("l.0.0", 1));
-    assertEquals(refused(), 0);
+  public void reservedRoomIsRefusedToOtherOwners() {
+    reportWaitingTask(SECOND_SESSION, 0, 10, 1_102);
+    endOneRun(1_103);
+    order(FIRST_SESSION, 1_104, new RunRef("k.0.0", 1));
+    assertEquals(refusalCount(), 1);
+    order(SECOND_SESSION, 1_105, new RunRef("l.0.0", 1));
+    assertEquals(refusalCount(), 0);
   }
 
   @Test
-  public void anOfferThatIsNotUsedGoesToTheNext() {
-    waiting(FIRST, 2, 500, 1_101);
-    waiting(SECOND, 0, 10, 1_102);
-    endOne(1_103);
+  public void anExpiredReservationPassesToTheNextOwner() {
+    reportWaitingTask(FIRST_SESSION, 2, 500, 1_101);
+    reportWaitingTask(SECOND_SESSION, 0, 10, 1_102);
+    endOneRun(1_103);
     collectEffects(1_103 + RoomReservations.RESERVATION_MS);
-    assertEquals(shown(FIRST), 1_000);
-    order(FIRST, 1_114, new RunRef("k.0.0", 1));
-    assertEquals(refused(), 0);
+    assertEquals(sentFreeCpuMilli(FIRST_SESSION), 1_000);
+    order(FIRST_SESSION, 1_114, new RunRef("k.0.0", 1));
+    assertEquals(refusalCount(), 0);
   }
 
-  /** An idle worker refused every order: each came when the room had been offered to another. */
+  /**
+   * Guards against an idle worker that refuses every order, because each order arrives while the
+   * room is reserved for another owner.
+   */
   @Test
-  public void anIdleWorkerRefusesNoOrderForAnOffer() {
-    waiting(SECOND, 0, 10, 1_102);
-    PollResult.Ended first = new PollResult.Ended(1, ENDS, RunEnd.DONE);
-    PollResult.Ended last = new PollResult.Ended(2, STAYS, RunEnd.DONE);
+  public void anIdleWorkerIgnoresReservations() {
+    reportWaitingTask(SECOND_SESSION, 0, 10, 1_102);
+    PollResult.Ended first = new PollResult.Ended(1, ENDING_RUN, RunEnd.DONE);
+    PollResult.Ended last = new PollResult.Ended(2, REMAINING_RUN, RunEnd.DONE);
     answerPoll(1_103, List.of(), first, last);
-    RunRef whole = new RunRef("k.0.0", 1);
-    StartRuns message = new StartRuns(++order, "w", "j", "spec", 100, CAPACITY, List.of(whole));
-    host.startRuns(FIRST, message, 1_104);
+    RunRef wholeWorker = new RunRef("k.0.0", 1);
+    StartRuns message =
+        new StartRuns(++order, "w", "j", "spec", 100, CAPACITY, List.of(wholeWorker));
+    host.startRuns(FIRST_SESSION, message, 1_104);
     collectEffects(1_104);
-    assertEquals(refused(), 0);
+    assertEquals(refusalCount(), 0);
   }
 
   @Test
-  public void anOwnerThatIsGoneIsOfferedNothing() {
-    waiting(FIRST, 2, 500, 1_101);
-    waiting(SECOND, 0, 10, 1_102);
-    host.sessionEnded(SECOND, "closed", 1_102);
-    endOne(1_103);
-    assertEquals(shown(FIRST), 1_000);
+  public void noRoomIsReservedForAnOwnerWhoseSessionEnded() {
+    reportWaitingTask(FIRST_SESSION, 2, 500, 1_101);
+    reportWaitingTask(SECOND_SESSION, 0, 10, 1_102);
+    host.sessionEnded(SECOND_SESSION, "closed", 1_102);
+    endOneRun(1_103);
+    assertEquals(sentFreeCpuMilli(FIRST_SESSION), 1_000);
   }
 
   @Test
-  public void anOwnerThatIsLostLeavesItsOfferToOthers() {
-    waiting(SECOND, 0, 10, 1_102);
-    endOne(1_103);
-    host.sessionEnded(SECOND, "closed", 1_104);
-    order(FIRST, 1_104, new RunRef("k.0.0", 1));
-    assertEquals(refused(), 0);
+  public void theReservationOfALostOwnerIsCancelled() {
+    reportWaitingTask(SECOND_SESSION, 0, 10, 1_102);
+    endOneRun(1_103);
+    host.sessionEnded(SECOND_SESSION, "closed", 1_104);
+    order(FIRST_SESSION, 1_104, new RunRef("k.0.0", 1));
+    assertEquals(refusalCount(), 0);
   }
 
   @Test
-  public void anOwnerThatSaysWhatWaitsIsShownTheWorkersOnceItIsOfferedRoom() {
-    waiting(SECOND, 0, 10, 1_102);
-    assertEquals(shown(SECOND), -1);
-    endOne(1_103);
-    assertEquals(shown(SECOND), 1_000);
+  public void anOwnerWithWaitingTasksReceivesRowsOnceRoomIsReservedForIt() {
+    reportWaitingTask(SECOND_SESSION, 0, 10, 1_102);
+    assertEquals(sentFreeCpuMilli(SECOND_SESSION), -1);
+    endOneRun(1_103);
+    assertEquals(sentFreeCpuMilli(SECOND_SESSION), 1_000);
   }
 
   @Test
-  public void withoutWaitingWorkAnyOwnerMayTakeFreedRoom() {
-    endOne(1_103);
-    order(SECOND, 1_104, new RunRef("l.0.0", 1));
-    assertEquals(refused(), 0);
+  public void withoutWaitingTasksAnyOwnerMayUseFreedRoom() {
+    endOneRun(1_103);
+    order(SECOND_SESSION, 1_104, new RunRef("l.0.0", 1));
+    assertEquals(refusalCount(), 0);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/SuspendedHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/SuspendedHostTest.java
@@ -14,26 +14,27 @@
 import org.testng.annotations.Test;
 
 /**
- * A host's box sleeps for seconds and wakes: its steady clock stood, so that the leases of its
- * owners seem fresh, though these have started the tasks elsewhere.
+ * Tests a host whose box is suspended for seconds and resumes. Its monotonic clock stopped
+ * meanwhile, so the leases of its owners seem valid although the owners have started the tasks
+ * elsewhere.
  */
 public final class SuspendedHostTest {
   private static final Room CAPACITY = new Room(4_000, 1_000, 0);
   private static final long SESSION = HostFixture.SESSION;
-  private static final RunRef RUNS = new RunRef("j.0.0", 1);
+  private static final RunRef RUNNING = new RunRef("j.0.0", 1);
   private static final RunRef ORDERED = new RunRef("j.0.1", 1);
 
   private HostFixture fixture;
   private WorkerHost host;
 
   @BeforeMethod
-  public void sleepWhileSomethingRuns() {
-    fixture = HostFixture.startedBefore(1_000);
+  public void suspendWithARun() {
+    fixture = HostFixture.startedLongBefore(1_000);
     host = fixture.host;
     host.workerHeartbeat(HostFixture.worker("w", CAPACITY, 1), 1_000);
     host.sessionOpened(SESSION, "o", 1_000);
     fixture.answerPoll("w", 1_000, List.of());
-    fixture.start(SESSION, "w", 1_010, RUNS);
+    fixture.start(SESSION, "w", 1_010, RUNNING);
     host.mayHaveSlept(4_000, 1_020);
     fixture.collectEffects(1_020);
   }
@@ -50,32 +51,32 @@
     return fixture.all(type).size();
   }
 
-  private long probe() {
+  private long probeNumber() {
     return sent(SessionProbe.class).getFirst().number();
   }
 
   @Test
-  public void itStartsNothingUntilItsOwnerAnswers() {
-    long probe = probe();
+  public void nothingStartsUntilTheOwnerAnswersTheProbe() {
+    long probeNumber = probeNumber();
     start(1_021, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
     assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
-    host.sessionProven(SESSION, probe, 1_024, 1_024);
+    host.sessionProven(SESSION, probeNumber, 1_024, 1_024);
     start(1_025, new RunRef("j.0.1", 2));
     assertEquals(count(HostEffect.StartCall.class), 1);
   }
 
   @Test
-  public void aHeartbeatThatCameWhileItSleptRenewsNothing() {
+  public void aHeartbeatReceivedDuringTheSuspendDoesNotRenewTheLease() {
     host.ownerHeartbeat(SESSION, 1_015, true, 1_021);
     start(1_022, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
   }
 
   @Test
-  public void anOrderIsNotRepeatedAfterASleep() {
-    long probe = probe();
-    host.sessionProven(SESSION, probe, 1_024, 1_024);
+  public void aStartCallIsNotRepeatedAfterASuspend() {
+    long probeNumber = probeNumber();
+    host.sessionProven(SESSION, probeNumber, 1_024, 1_024);
     start(1_025, ORDERED);
     host.mayHaveSlept(4_000, 1_030);
     host.startCallCompleted("w", ORDERED, new StartResult.Unanswered(), 1_031);
@@ -85,7 +86,7 @@
   }
 
   @Test
-  public void theRunsOfAnOwnerThatDoesNotAnswerAreStopped() {
+  public void theRunsOfAnOwnerThatDoesNotAnswerTheProbeAreStopped() {
     host.onTick(1_200);
     fixture.collectEffects(1_200);
     assertEquals(count(HostEffect.CloseSession.class), 0);
@@ -97,13 +98,13 @@
 
   @Test
   public void anAnswerToAnEarlierProbeProvesNothing() {
-    host.sessionProven(SESSION, probe() - 1, 1_021, 1_021);
+    host.sessionProven(SESSION, probeNumber() - 1, 1_021, 1_021);
     start(1_022, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
   }
 
   @Test
-  public void itProvesNothingToOthersWhileItDoubtsItself() {
+  public void aHostWithUnverifiedSessionsAnswersNoProbes() {
     host.sessionProbed(SESSION, 5, 1_021);
     fixture.collectEffects(1_021);
     assertEquals(sent(SessionProof.class), List.of());
--- a/core/src/test/java/io/hingehoist/run/host/UnansweredStartTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/UnansweredStartTest.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A task ran twice at once: its first start call had no answer and was carried out later. */
+/**
+ * Guards against a task that runs twice at the same time because its first start call got no
+ * response and was carried out later.
+ */
 public final class UnansweredStartTest {
   private static final long SESSION = HostFixture.SESSION;
   private static final String WORKER = "w1";
@@ -22,8 +25,8 @@
   private HostFixture fixture;
 
   @BeforeMethod
-  public void oneWorkerAndOneOwner() {
-    fixture = HostFixture.startedBefore(1_000);
+  public void createWorkerAndOwner() {
+    fixture = HostFixture.startedLongBefore(1_000);
     fixture.host.workerHeartbeat(HostFixture.worker(WORKER, new Room(2_000, 100, 0), 1), 1_000);
     fixture.collectEffects(1_000);
     fixture.answerPoll(WORKER, 1_000, List.of());
@@ -33,12 +36,12 @@
     startCallCompleted(new StartResult.Unanswered(), 1_025);
   }
 
-  private void startCallCompleted(StartResult answer, long nowMs) {
-    fixture.host.startCallCompleted(WORKER, RUN, answer, nowMs);
+  private void startCallCompleted(StartResult result, long nowMs) {
+    fixture.host.startCallCompleted(WORKER, RUN, result, nowMs);
     fixture.collectEffects(nowMs);
   }
 
-  private void assertNothingIsReported() {
+  private void assertNoEndIsReported() {
     assertEquals(fixture.sent(RunNotStarted.class), List.of());
     assertEquals(fixture.sent(RunEnded.class), List.of());
     assertEquals(fixture.host.runCount(), 1);
@@ -54,16 +57,16 @@
   @Test(dataProvider = "refusals")
   public void aRefusedSecondCallDoesNotReportTheRunAsNotStarted(RunRefusal reason) {
     startCallCompleted(new StartResult.Refused(reason), 1_030);
-    assertNothingIsReported();
+    assertNoEndIsReported();
   }
 
   @Test
-  public void aRunWhoseSecondCallIsRefusedIsBarredBeforeItIsOver() {
+  public void aRunWhoseSecondCallIsRefusedIsInvalidatedBeforeItIsOver() {
     startCallCompleted(new StartResult.Refused(RunRefusal.UNHEALTHY), 1_030);
     assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), RUN);
     fixture.host.stopCallCompleted(WORKER, RUN, true, 1_032);
     fixture.answerPoll(WORKER, 1_040, List.of());
-    assertNothingIsReported();
+    assertNoEndIsReported();
     fixture.host.onTick(1_090);
     fixture.answerPoll(WORKER, 1_095, List.of());
     fixture.answerPoll(WORKER, 1_150, List.of());
@@ -71,26 +74,26 @@
   }
 
   @Test
-  public void aRunThatEndedBeforeItsSecondCallIsReportedAsItEnded() {
+  public void aRunThatEndedBeforeItsSecondCallIsReportedWithItsEnd() {
     startCallCompleted(new StartResult.Refused(RunRefusal.OLD_NUMBER), 1_030);
-    assertNothingIsReported();
+    assertNoEndIsReported();
     fixture.answerPoll(WORKER, 1_040, List.of(), new PollResult.Ended(1, RUN, RunEnd.DONE));
     assertEquals(fixture.sent(RunEnded.class).getFirst().end(), RunEnd.DONE);
   }
 
   @Test
   public void aLateSecondCallForAnOwnerWithoutALeaseDoesNotEndTheRun() {
-    long leaseOverMs = 1_001 + HostFixture.TIMING.ownerLeaseMs();
-    startCallCompleted(new StartResult.Late(501_000), leaseOverMs);
-    assertNothingIsReported();
+    long leaseExpiredAtMs = 1_001 + HostFixture.TIMING.ownerLeaseMs();
+    startCallCompleted(new StartResult.Late(501_000), leaseExpiredAtMs);
+    assertNoEndIsReported();
     assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), RUN);
   }
 
   @Test
   public void aFencedSecondCallForAnOwnerWithoutALeaseDoesNotEndTheRun() {
-    long leaseOverMs = 1_001 + HostFixture.TIMING.ownerLeaseMs();
-    startCallCompleted(new StartResult.Fenced(501_000), leaseOverMs);
-    assertNothingIsReported();
+    long leaseExpiredAtMs = 1_001 + HostFixture.TIMING.ownerLeaseMs();
+    startCallCompleted(new StartResult.Fenced(501_000), leaseExpiredAtMs);
+    assertNoEndIsReported();
     assertEquals(fixture.all(HostEffect.StopCall.class).getFirst().run(), RUN);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/WorkerCrashTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerCrashTest.java
@@ -10,31 +10,32 @@
 import org.testng.annotations.Test;
 
 /**
- * A worker crashes, perhaps for a task that it runs; every owner is told which tasks were there.
+ * Tests a worker that crashes, possibly because of one of its tasks: every owner is informed of the
+ * tasks that were running.
  */
 public final class WorkerCrashTest {
   private static final Room CAPACITY = new Room(8_000, 1_000, 0);
-  private static final RunRef ONE = new RunRef("j.0.0", 1);
-  private static final RunRef TWO = new RunRef("j.0.1", 1);
+  private static final RunRef FIRST_RUN = new RunRef("j.0.0", 1);
+  private static final RunRef SECOND_RUN = new RunRef("j.0.1", 1);
 
   private HostFixture fixture;
   private WorkerHost host;
 
   @BeforeMethod
-  public void open() {
-    fixture = HostFixture.startedBefore(1_000);
+  public void createWorkerAndSessions() {
+    fixture = HostFixture.startedLongBefore(1_000);
     host = fixture.host;
     host.sessionOpened(1, "o1", 1_000);
     host.sessionOpened(2, "o2", 1_000);
-    worker("w", 1_000);
+    addWorker("w", 1_000);
   }
 
-  private void worker(String id, long nowMs) {
+  private void addWorker(String id, long nowMs) {
     host.workerHeartbeat(HostFixture.worker(id, CAPACITY, 9), nowMs);
     fixture.answerPoll(id, nowMs, List.of());
   }
 
-  private void run(String worker, RunRef run, long nowMs) {
+  private void startRun(String worker, RunRef run, long nowMs) {
     host.ownerHeartbeat(1, nowMs, true, nowMs);
     fixture.start(1, worker, nowMs, run);
   }
@@ -49,48 +50,49 @@
   }
 
   @Test
-  public void everyOwnerHearsOfTheTasksThatWereThere() {
-    run("w", ONE, 1_010);
-    run("w", TWO, 1_020);
+  public void everyOwnerIsInformedOfTheRunningTasks() {
+    startRun("w", FIRST_RUN, 1_010);
+    startRun("w", SECOND_RUN, 1_020);
     crash("w", 1_030);
-    WorkerCrashed news = new WorkerCrashed("w", 0, false, List.of(ONE.task(), TWO.task()));
-    assertEquals(sent(1), List.of(news));
-    assertEquals(sent(2), List.of(news));
+    WorkerCrashed report =
+        new WorkerCrashed("w", 0, false, List.of(FIRST_RUN.task(), SECOND_RUN.task()));
+    assertEquals(sent(1), List.of(report));
+    assertEquals(sent(2), List.of(report));
   }
 
   @Test
-  public void anOwnerThatComesLaterHearsOfItAsWell() {
-    run("w", ONE, 1_010);
+  public void anOwnerThatConnectsLaterIsInformedAsWell() {
+    startRun("w", FIRST_RUN, 1_010);
     crash("w", 1_030);
     host.sessionOpened(3, "o3", 2_030);
     fixture.collectEffects(2_030);
-    assertEquals(sent(3), List.of(new WorkerCrashed("w", 1_000, false, List.of(ONE.task()))));
+    assertEquals(sent(3), List.of(new WorkerCrashed("w", 1_000, false, List.of(FIRST_RUN.task()))));
   }
 
   @Test
-  public void aWorkerThatTookItsLeaveDidNotCrash() {
-    run("w", ONE, 1_010);
+  public void aWorkerThatAnnouncedItsEndIsNotReportedAsCrashed() {
+    startRun("w", FIRST_RUN, 1_010);
     host.workerLeaves("w");
     crash("w", 1_030);
     assertEquals(sent(1), List.of());
   }
 
   @Test
-  public void aWorkerThatRanNothingSaysNothingOfTasks() {
+  public void aCrashWithoutRunsIsNotReported() {
     crash("w", 1_030);
     assertEquals(sent(1), List.of());
   }
 
   @Test
-  public void oneThatCrashesAgainUnderOtherTasksIsSaidToDoSo() {
-    run("w", ONE, 1_010);
+  public void aCrashWithDifferentTasksThanTheLastIsMarkedAsRepeated() {
+    startRun("w", FIRST_RUN, 1_010);
     crash("w", 1_030);
-    worker("w2", 2_000);
-    run("w2", TWO, 2_010);
+    addWorker("w2", 2_000);
+    startRun("w2", SECOND_RUN, 2_010);
     crash("w2", 2_020);
     assertEquals(sent(1).getFirst().again(), true);
-    worker("w3", 3_000);
-    run("w3", TWO, 3_010);
+    addWorker("w3", 3_000);
+    startRun("w3", SECOND_RUN, 3_010);
     crash("w3", 3_020);
     assertEquals(sent(1).getFirst().again(), false);
   }
