--- a/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
@@ -25,7 +25,7 @@
 
 public final class WorkerHostTest {
   private static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
-  private static final long QUIET_MS = TIMING.workerOverAfterMs();
+  private static final long RUNS_OVER_AFTER_MS = TIMING.workerOverAfterMs();
   private static final Room CAPACITY = new Room(2_000, 1_000, 0);
   private static final Room NEED = new Room(1_000, 10, 0);
   private static final long SESSION = 7;
@@ -40,7 +40,8 @@
 
   private WorkerHost hostWithOwner(long nowMs) {
     WorkerHost host =
-        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 1, "z", TIMING, 100, nowMs - QUIET_MS));
+        ZoneFixtures.noneEvacuated(
+            WorkerHost.create("h", 1, "z", TIMING, 100, nowMs - RUNS_OVER_AFTER_MS));
     host.workerHeartbeat(worker("w1", false, 1), nowMs);
     host.sessionOpened(SESSION, "o", nowMs);
     answerPoll(host, nowMs, List.of());
@@ -82,7 +83,7 @@
   }
 
   @Test
-  public void neverOrdersMoreThanTheWorkerHasRoomFor() {
+  public void startsNoMoreRunsThanTheWorkerHasRoomFor() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1), run(1, 1), run(2, 1));
     assertEquals(all(HostEffect.StartCall.class).size(), 2);
@@ -104,7 +105,7 @@
   }
 
   @Test
-  public void anUnansweredStartIsRepeatedWithItsNumber() {
+  public void anUnansweredStartIsRepeatedWithTheSameRunNumber() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_025);
@@ -116,9 +117,12 @@
     assertEquals(sent(RunEnded.class).getFirst().end(), RunEnd.DONE);
   }
 
-  /** Kept connections to a worker fall silent together; the second was tried 20 to 40 ms longer. */
+  /**
+   * Idle connections to a worker break together: a repeated call on a second one delayed the start
+   * by another 20 to 40 ms.
+   */
   @Test
-  public void aStartWithoutAnAnswerIsRepeatedOnANewConnection() {
+  public void anUnansweredStartIsRepeatedOnANewConnection() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     assertFalse(all(HostEffect.StartCall.class).getFirst().options().freshConnection());
@@ -131,7 +135,7 @@
   }
 
   @Test
-  public void whileCallsGetLostAWorkerIsAskedForItsEndsMoreOften() {
+  public void aWorkerIsPolledMoreOftenWhileCallsAreLost() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_001);
@@ -144,7 +148,7 @@
   }
 
   @Test
-  public void aStopThatFailsAtOnceIsTriedAgainWithTheNextTick() {
+  public void aStopThatFailsAtOnceIsRepeatedAtTheNextTick() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
@@ -159,7 +163,7 @@
   }
 
   @Test
-  public void anUnansweredStartIsBarredByAStopBeforeItsRoomIsFree() {
+  public void anUnansweredStartIsInvalidatedByAStopBeforeItsRoomIsFree() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Unanswered(), 1_050);
@@ -169,7 +173,7 @@
     assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
     assertEquals(host.runCount(), 1);
     host.stopCallCompleted("w1", run(0, 1), true, 1_152);
-    // This list was asked for before the stop was answered, and shows nothing.
+    // This list was requested before the stop was confirmed, so it proves nothing.
     answerPoll(host, 1_160, List.of());
     assertEquals(host.runCount(), 1);
     host.onTick(1_210);
@@ -192,7 +196,7 @@
   }
 
   @Test
-  public void aStopOfARunThatIsNotHereSaysThatItIsOver() {
+  public void aStopOfAnUnknownRunIsAnsweredWithItsEnd() {
     WorkerHost host = hostWithOwner(1_000);
     host.stopRun(SESSION, run(0, 1), 1_010);
     collectEffects(host, 1_010);
@@ -215,12 +219,12 @@
   }
 
   @Test
-  public void aBeatThatWasHeldUpRenewsNothing() {
+  public void aDelayedHeartbeatDoesNotExtendTheLease() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 5_000, true, 1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
-    // Sent 100 ms after the first, it comes 600 ms after it.
+    // Sent 100 ms after the first heartbeat, it arrives 600 ms after it.
     host.ownerHeartbeat(SESSION, 5_100, true, 1_600);
     host.onTick(1_100 + TIMING.ownerLeaseMs());
     collectEffects(host, 1_750);
@@ -229,7 +233,7 @@
   }
 
   @Test
-  public void aBeatThatWasHeldUpLetsNothingStart() {
+  public void aDelayedHeartbeatAllowsNoStart() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 5_000, true, 1_000);
     host.ownerHeartbeat(SESSION, 5_100, true, 1_600);
@@ -240,16 +244,16 @@
   }
 
   @Test
-  public void startsNothingForAnOwnerWhoseLeaseIsOver() {
+  public void startsNothingForAnOwnerWhoseLeaseHasExpired() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000 + TIMING.ownerLeaseMs(), run(0, 1));
     assertEquals(all(HostEffect.StartCall.class), List.of());
-    // The owner hears of it: a beat may renew the lease before the session is closed.
+    // The owner is informed: a heartbeat may renew the lease before the session is closed.
     assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
   }
 
   @Test
-  public void tellsOnceTheRunsOfAFormerSessionAreOver() {
+  public void notifiesTheOwnerOnceTheRunsOfAFormerSessionAreOver() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
@@ -263,7 +267,7 @@
   }
 
   @Test
-  public void aRestartedHostSaysNothingOfItsLastLifeWhileThatLifesLeaseMayLast() {
+  public void aRestartedHostReportsFormerRunsAsOverOnlyAfterTheFormerLease() {
     WorkerHost host =
         ZoneFixtures.noneEvacuated(WorkerHost.create("h", 2, "z", TIMING, 100, 1_000));
     host.sessionOpened(SESSION, "o", 1_010);
@@ -271,16 +275,16 @@
     assertFalse(sent(SessionOpened.class).getFirst().formerRunsOver());
     host.ownerHeartbeat(SESSION, 10, true, 1_010);
     host.ownerHeartbeat(SESSION, 500, true, 1_500);
-    host.onTick(1_000 + QUIET_MS - 1);
-    collectEffects(host, 1_000 + QUIET_MS - 1);
+    host.onTick(1_000 + RUNS_OVER_AFTER_MS - 1);
+    collectEffects(host, 1_000 + RUNS_OVER_AFTER_MS - 1);
     assertEquals(sent(SessionOpened.class), List.of());
-    host.onTick(1_000 + QUIET_MS);
-    collectEffects(host, 1_000 + QUIET_MS);
+    host.onTick(1_000 + RUNS_OVER_AFTER_MS);
+    collectEffects(host, 1_000 + RUNS_OVER_AFTER_MS);
     assertTrue(sent(SessionOpened.class).getFirst().formerRunsOver());
   }
 
   @Test
-  public void givesOutNoRoomWhileRunsOfItsLastLifeAreThere() {
+  public void assignsNoRoomWhileRunsOfTheFormerIncarnationExist() {
     WorkerHost host =
         ZoneFixtures.noneEvacuated(WorkerHost.create("h", 2, "z", TIMING, 100, 1_000));
     host.sessionOpened(SESSION, "o", 1_010);
@@ -322,12 +326,12 @@
     host.ownerHeartbeat(SESSION, 8_600, true, 1_000);
     host.ownerHeartbeat(SESSION, 9_000, true, 1_400);
     collectEffects(host, 1_600);
-    // The call after a lost one renews no lease, so the start was the last that did.
-    host.onTick(1_000 + QUIET_MS - 1);
-    collectEffects(host, 1_000 + QUIET_MS - 1);
+    // A poll after a lost one does not renew the lease, so the start call was the last renewal.
+    host.onTick(1_000 + RUNS_OVER_AFTER_MS - 1);
+    collectEffects(host, 1_000 + RUNS_OVER_AFTER_MS - 1);
     assertEquals(sent(RunEnded.class), List.of());
-    host.onTick(1_000 + QUIET_MS);
-    collectEffects(host, 1_000 + QUIET_MS);
+    host.onTick(1_000 + RUNS_OVER_AFTER_MS);
+    collectEffects(host, 1_000 + RUNS_OVER_AFTER_MS);
     assertEquals(sent(RunEnded.class), List.of(new RunEnded(run(0, 1), RunEnd.LOST, 0)));
   }
 
@@ -345,7 +349,7 @@
   }
 
   @Test
-  public void anotherLifeThatAnswersAtTheSameAddressEndsTheRunsOfTheLast() {
+  public void anotherInstanceAtTheSameAddressEndsTheRunsOfTheFormer() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.workerHeartbeat(worker("w2", false, 1), 1_100);
@@ -356,12 +360,13 @@
   }
 
   /**
-   * A heartbeat that a cut holds up may come after its sender has crashed and another life has
-   * registered at the address. It was taken for a new life there: the runs of the one that is well
-   * were called lost, and ordered elsewhere while they went on.
+   * Guards against a heartbeat that is delayed by a network partition and arrives after its sender
+   * has crashed and another instance has registered at the address. If it counted as a new
+   * instance, the runs of the healthy one would be reported as lost and started elsewhere while
+   * they continue.
    */
   @Test
-  public void aLateHeartbeatOfACrashedLifeEndsNothing() {
+  public void aDelayedHeartbeatOfACrashedInstanceEndsNoRuns() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.workerHeartbeat(worker("w0", false, 7), 1_100);
@@ -377,30 +382,30 @@
   }
 
   @Test
-  public void aDrainingWorkerGetsNothingNew() {
+  public void aDrainingWorkerGetsNoNewRuns() {
     WorkerHost host = hostWithOwner(1_000);
     host.workerHeartbeat(worker("w1", true, 2), 1_010);
     collectEffects(host, 1_010);
     assertEquals(
         sent(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.DRAINING);
-    // An older account that overtook the newer one changes nothing.
+    // An older heartbeat that arrives after the newer one changes nothing.
     host.workerHeartbeat(worker("w1", false, 1), 1_020);
     order(host, 1_030, run(0, 1));
     assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
   }
 
   @Test
-  public void aHigherTokenFollowsARefusalForItsToken() {
+  public void theTokenIsRaisedAfterAFencedCall() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
-    long before = all(HostEffect.StartCall.class).getFirst().token();
+    long firstToken = all(HostEffect.StartCall.class).getFirst().token();
     host.startCallCompleted("w1", run(0, 1), new StartResult.Fenced(501_000), 1_002);
     collectEffects(host, 1_002);
-    assertTrue(all(HostEffect.StartCall.class).getFirst().token() > before);
+    assertTrue(all(HostEffect.StartCall.class).getFirst().token() > firstToken);
   }
 
   @Test
-  public void stopsARunThatItDoesNotKnow() {
+  public void stopsAnUnknownRun() {
     WorkerHost host = hostWithOwner(1_000);
     answerPoll(host, 1_010, List.of(run(9, 3)));
     assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(9, 3));
@@ -420,7 +425,7 @@
   }
 
   @Test
-  public void aPlannedStopTakesNothingNewAndWaitsForTheRest() {
+  public void aPlannedStopAcceptsNoRunsAndWaitsForTheOthers() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.stopAcceptingRuns();
@@ -432,9 +437,10 @@
   }
 
   @Test
-  public void theFirstListOfAWorkerIsAskedForWithoutAWait() {
+  public void theFirstListOfAWorkerIsRequestedWithoutAWait() {
     WorkerHost host =
-        ZoneFixtures.noneEvacuated(WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - QUIET_MS));
+        ZoneFixtures.noneEvacuated(
+            WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - RUNS_OVER_AFTER_MS));
     host.workerHeartbeat(worker("w1", false, 1), 1_000);
     collectEffects(host, 1_000);
     assertEquals(all(HostEffect.PollCall.class).getFirst().waitMs(), 0);
@@ -443,7 +449,7 @@
   }
 
   @Test
-  public void anOwnerThatDoesNotFollowIsShownRoomWithItsBeatsOnly() {
+  public void anOwnerThatDoesNotFollowReceivesRowsOnlyWithItsHeartbeats() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, false, 1_000);
     collectEffects(host, 1_000);
@@ -452,23 +458,23 @@
     assertEquals(sent(HostRows.class), List.of());
     host.ownerHeartbeat(SESSION, 1_450, false, 1_450);
     collectEffects(host, 1_450);
-    HostRows shown = sent(HostRows.class).getFirst();
-    assertEquals(shown.workers().getFirst().free(), Rooms.minus(CAPACITY, NEED));
+    HostRows rows = sent(HostRows.class).getFirst();
+    assertEquals(rows.workers().getFirst().free(), Rooms.minus(CAPACITY, NEED));
   }
 
   @Test
-  public void everyOwnerIsShownAtOnceThatAWorkerTakesNothing() {
+  public void everyOwnerIsInformedAtOnceOfADrainingWorker() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, false, 1_000);
     collectEffects(host, 1_000);
     host.workerHeartbeat(worker("w1", true, 2), 1_010);
     collectEffects(host, 1_010);
-    HostRows shown = sent(HostRows.class).getFirst();
-    assertEquals(shown.workers().getFirst().state(), WorkerState.DRAINING);
+    HostRows rows = sent(HostRows.class).getFirst();
+    assertEquals(rows.workers().getFirst().state(), WorkerState.DRAINING);
   }
 
   @Test
-  public void aBeatIsAnsweredUnlessTheWorkersWereShownAMomentAgo() {
+  public void aHeartbeatIsAnsweredUnlessRowsWereSentRecently() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_050, true, 1_050);
     collectEffects(host, 1_050);
@@ -479,7 +485,7 @@
   }
 
   @Test
-  public void aWorkerWhoseRunsStandStillIsShownToEveryOwner() {
+  public void everyOwnerIsInformedOfAStalledWorker() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1), run(1, 1));
     for (int i = 0; i < 2; i++) {
@@ -491,9 +497,9 @@
     assertEquals(sent(HostRows.class).getFirst().workers().getFirst().state(), WorkerState.STALLED);
   }
 
-  /** A start without an answer may be carried out seconds later, when its job is long cancelled. */
+  /** An unanswered start may be carried out seconds later, when its job has long been cancelled. */
   @Test
-  public void aRunThatBeginsAfterItWasGivenUpIsStoppedAndKeepsRoomFromOthers() {
+  public void aRunThatStartsAfterItsEndWasReportedIsStoppedAndOccupiesRoom() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_000, run(0, 1));
@@ -502,7 +508,7 @@
       host.pollCallCompleted("w1", new PollResult.Unanswered(), 1_000 + 30 * call);
     }
     host.stopRun(SESSION, run(0, 1), 1_100);
-    long lostAtMs = 1_090 + QUIET_MS;
+    long lostAtMs = 1_090 + RUNS_OVER_AFTER_MS;
     host.ownerHeartbeat(SESSION, lostAtMs, true, lostAtMs);
     host.onTick(lostAtMs);
     collectEffects(host, lostAtMs);
@@ -518,9 +524,9 @@
     assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
-  /** The host that started it is gone; the one that took its place on the box never ordered it. */
+  /** The host that started the run is gone, and its successor on the box does not know the run. */
   @Test
-  public void aRunWhoseStarterWasRemovedIsStoppedUntilItsEndIsListed() {
+  public void aRunOfARemovedHostIsStoppedUntilItIsNoLongerListed() {
     WorkerHost successor =
         ZoneFixtures.noneEvacuated(WorkerHost.create("h", 2, "z", TIMING, 200, 1_000));
     successor.workerHeartbeat(worker("w1", false, 1), 1_000);
@@ -533,35 +539,36 @@
     assertEquals(all(HostEffect.StopCall.class), List.of());
   }
 
-  /** Returns what the host does about a start whose answer it hears after it stood still. */
-  private void hearsOfAStartTooLate(StartResult answer) {
+  /** Completes a start call only after the host was paused for the length of an owner's lease. */
+  private void completeStartAfterPause(StartResult result) {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_010, run(0, 1));
-    host.startCallCompleted("w1", run(0, 1), answer, 1_010 + TIMING.ownerLeaseMs());
+    host.startCallCompleted("w1", run(0, 1), result, 1_010 + TIMING.ownerLeaseMs());
     collectEffects(host, 1_010 + TIMING.ownerLeaseMs());
   }
 
-  /** The owner has given this host up meanwhile, and may have started the task elsewhere. */
+  /** The owner has considered this host lost meanwhile and may have started the task elsewhere. */
   @Test
-  public void noStartIsRepeatedForAnOwnerWhoseLeaseIsOver() {
-    hearsOfAStartTooLate(new StartResult.Unanswered());
+  public void noStartIsRepeatedForAnOwnerWhoseLeaseHasExpired() {
+    completeStartAfterPause(new StartResult.Unanswered());
     assertEquals(all(HostEffect.StartCall.class), List.of());
     assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
 
-    hearsOfAStartTooLate(new StartResult.Fenced(501_000));
+    completeStartAfterPause(new StartResult.Fenced(501_000));
     assertEquals(all(HostEffect.StartCall.class), List.of());
 
-    hearsOfAStartTooLate(new StartResult.Late(501_000));
+    completeStartAfterPause(new StartResult.Late(501_000));
     assertEquals(all(HostEffect.StartCall.class), List.of());
   }
 
   /**
-   * An owner that has not heard of an evacuation goes on to order; only the host can refuse it.
-   * What runs goes on to its end, and its worker takes runs again once the zone is restored.
+   * An owner that does not know of an evacuation keeps sending orders, which only the host can
+   * refuse. Runs in progress continue to their ends, and the worker accepts runs again once the
+   * zone is restored.
    */
   @Test
-  public void inAnEvacuatedZoneNothingStartsAndWhatRunsGoesOn() {
+  public void inAnEvacuatedZoneNoRunStartsAndOthersContinue() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_001);
@@ -590,10 +597,10 @@
     assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
-  /** A box may have been away while its zone was evacuated. */
+  /** A box may have been disconnected while its zone was evacuated. */
   @Test
-  public void aHostThatHasNotHeardOfTheZonesStartsNothing() {
-    WorkerHost host = WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - QUIET_MS);
+  public void aHostThatDoesNotKnowTheEvacuatedZonesStartsNothing() {
+    WorkerHost host = WorkerHost.create("h", 1, "z", TIMING, 100, 1_000 - RUNS_OVER_AFTER_MS);
     host.workerHeartbeat(worker("w1", false, 1), 1_000);
     host.sessionOpened(SESSION, "o", 1_000);
     answerPoll(host, 1_000, List.of());
@@ -604,9 +611,9 @@
     assertEquals(all(HostEffect.StartCall.class).size(), 1);
   }
 
-  /** A start whose answer was lost would otherwise be sent again after the evacuation. */
+  /** A start call without a response would otherwise be repeated after the evacuation. */
   @Test
-  public void aStartWithoutAnAnswerIsNotRepeatedOnceTheZoneIsEvacuated() {
+  public void anUnansweredStartIsNotRepeatedOnceTheZoneIsEvacuated() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.evacuatedZonesReceived(new EvacuatedZones(1, List.of("z")), "replica", 1_010);
@@ -616,9 +623,9 @@
     assertEquals(all(HostEffect.StopCall.class).getFirst().run(), run(0, 1));
   }
 
-  /** Pairs of an owner and a host without a run between them renew no lease. */
+  /** An owner without runs at a host does not renew its lease there. */
   @Test
-  public void aSessionWithoutRunsOutlivesItsLeaseAndTakesItUpAgain() {
+  public void aSessionWithoutRunsOutlivesItsLeaseAndCanRenewIt() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     host.onTick(1_000 + RunTiming.IDLE_SESSION_MS - 1);
@@ -630,7 +637,7 @@
   }
 
   @Test
-  public void anOrderThatComesWithoutALeaseIsRefused() {
+  public void anOrderWithoutALeaseIsRefused() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_000 + TIMING.ownerLeaseMs(), run(0, 1));
@@ -638,7 +645,7 @@
   }
 
   @Test
-  public void aSessionWithoutRunsIsOverOnceHeartbeatsAreMissing() {
+  public void aSessionWithoutRunsIsClosedAfterMissingHeartbeats() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     host.onTick(1_000 + RunTiming.IDLE_SESSION_MS);
@@ -647,7 +654,7 @@
   }
 
   @Test
-  public void aLeaseThatEndsWhileARunGoesOnEndsTheSession() {
+  public void aLeaseThatExpiresDuringARunClosesTheSession() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
     order(host, 1_001, run(0, 1));
@@ -659,12 +666,12 @@
   }
 
   /**
-   * Clocks are compared by the first heartbeat. Of one that took 600 ms, as from an owner that has
-   * just started, each lease ends 600 ms early. Such sessions were closed, and all of a fleet that
-   * started together opened theirs twice while callers waited.
+   * The first heartbeat yields the clock offset. If it takes 600 ms, as from an owner that has just
+   * started, each lease expires 600 ms early. Closing such sessions made all owners of a fleet that
+   * started together open theirs twice while callers waited.
    */
   @Test
-  public void aSlowFirstHeartbeatLetsClocksBeComparedAnew() {
+  public void aDelayedFirstHeartbeatCausesANewClockComparison() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 5_600, true, 1_600);
     collectEffects(host, 1_600);
@@ -679,7 +686,7 @@
   }
 
   @Test
-  public void clocksThatAreBeingComparedAreNotAskedForAgain() {
+  public void noSecondProbeIsSentWhileOneIsPending() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 5_600, true, 1_600);
     host.ownerHeartbeat(SESSION, 5_610, true, 1_610);
@@ -688,7 +695,8 @@
   }
 
   /**
-   * Taken for the worker's own, such a heartbeat made it a worker of a service that nobody asks.
+   * Guards against a heartbeat that moves a known worker to another service, where no owner uses
+   * it.
    */
   @Test
   public void aHeartbeatThatNamesAnotherServiceForAKnownWorkerChangesNothing() {
--- a/core/src/test/java/io/hingehoist/run/host/ZoneFixtures.java
+++ b/core/src/test/java/io/hingehoist/run/host/ZoneFixtures.java
@@ -3,11 +3,11 @@
 import io.hingehoist.message.EvacuatedZones;
 import java.util.List;
 
-/** Static helpers that tell hosts which availability zones are evacuated. */
+/** Static helpers that inform hosts of the evacuated availability zones. */
 public final class ZoneFixtures {
   private ZoneFixtures() {}
 
-  /** Returns a host that was told that no zone is evacuated. */
+  /** Informs a host that no zone is evacuated, and returns it. */
   public static WorkerHost noneEvacuated(WorkerHost host) {
     host.evacuatedZonesReceived(new EvacuatedZones(0, List.of()), "test", 0);
     host.drainEffects();
