--- a/core/src/main/java/io/hingehoist/run/host/FencingToken.java
+++ b/core/src/main/java/io/hingehoist/run/host/FencingToken.java
@@ -1,7 +1,7 @@
 package io.hingehoist.run.host;
 
 /**
- * Holds the fencing token by which a worker tells a newer host process from an older one.
+ * Holds the fencing token by which a worker distinguishes a newer host process from an older one.
  *
  * <p>A worker that has seen a higher token refuses calls; the token is then raised in increments
  * that double each time, until it is the highest. Not thread-safe: confined to the event-loop
--- a/core/src/main/java/io/hingehoist/run/host/RunController.java
+++ b/core/src/main/java/io/hingehoist/run/host/RunController.java
@@ -23,7 +23,7 @@
   private static final int MAX_STARTS = 3;
 
   /**
-   * How late a call without a response may still be carried out if its deadline does not tell,
+   * How late a call without a response may still be carried out if its deadline does not apply,
    * because the deadline was set by the clock of a former instance of the worker.
    */
   private static final long MAX_CALL_DELAY_MS = 15_000;
--- a/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
@@ -131,7 +131,7 @@
       return;
     }
     switch (result) {
-      // A list of another instance, or without a start time, says nothing about this instance.
+      // A list of another instance, or without a start time, does not apply to this instance.
       case PollResult.Listed listed when listed.startedAtEpochMs() != instance.startedAtEpochMs() ->
           recordLostPoll(instance, nowMs);
       case PollResult.Listed listed -> {
@@ -170,8 +170,8 @@
   }
 
   /**
-   * Records a lost poll. A single loss says nothing about the worker, so the next poll is sent at
-   * once: a pause would hide ends.
+   * Records a lost poll. A single loss is no evidence of a silent worker, so the next poll is sent
+   * at once: a pause would hide ends.
    */
   private void recordLostPoll(WorkerInstance instance, long nowMs) {
     instance.lostPolls++;
