--- a/core/src/main/java/io/hingehoist/control/AuditTrail.java
+++ b/core/src/main/java/io/hingehoist/control/AuditTrail.java
@@ -5,7 +5,10 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The latest changes of settings and members, oldest first. Owned by {@link ControlState}. */
+/**
+ * The latest changes of settings, members and availability zones, oldest first. Not thread-safe:
+ * confined to the control thread.
+ */
 final class AuditTrail {
   private static final int MAX_ROWS = 10_000;
 
@@ -17,24 +20,24 @@
     sequence = Math.max(sequence, row.sequence());
   }
 
-  /** Adds a change of a member. */
+  /** Records a change of the state of a member. */
   void addMemberChange(
       long atMs, String actor, String action, String member, String before, String after) {
     add(new AuditRow(++sequence, atMs, actor, action, member, "", 0, before, after, true, ""));
   }
 
-  /** Adds a change of an availability zone. */
-  void addZoneChange(long atMs, io.hingehoist.command.ChangeZone order, long version) {
-    String before = order.evacuated() ? "open" : "evacuated";
-    String after = order.evacuated() ? "evacuated" : "open";
-    String action = order.evacuated() ? "evacuateZone" : "restoreZone";
+  /** Records that an availability zone was evacuated or restored. */
+  void addZoneChange(long atMs, io.hingehoist.command.ChangeZone command, long version) {
+    String before = command.evacuated() ? "open" : "evacuated";
+    String after = command.evacuated() ? "evacuated" : "open";
+    String action = command.evacuated() ? "evacuateZone" : "restoreZone";
     add(
         new AuditRow(
             ++sequence,
             atMs,
-            order.actor(),
+            command.actor(),
             action,
-            order.zone(),
+            command.zone(),
             "",
             version,
             before,
@@ -43,7 +46,7 @@
             ""));
   }
 
-  /** Adds a change of settings, accepted or refused. */
+  /** Records a change of settings, accepted or refused. */
   void addSettingsChange(
       long atMs,
       io.hingehoist.command.ChangeSettings change,
--- a/core/src/main/java/io/hingehoist/control/ControlState.java
+++ b/core/src/main/java/io/hingehoist/control/ControlState.java
@@ -54,13 +54,14 @@
 import java.util.Optional;
 
 /**
- * The state that the replicated log builds.
+ * The state machine of the replicated log.
  *
- * <p>{@link #apply} depends on nothing but the entry and the state before it, so every replica
- * holds the same state at the same index. Not thread-safe: the control thread owns it.
+ * <p>{@link #apply} is deterministic: its result depends only on the entry and the state before it,
+ * so every replica holds the same state at the same index. Not thread-safe: confined to the control
+ * thread.
  */
 public final class ControlState {
-  /** How far ahead of the replicated clock a submission time may be. */
+  /** The maximum time by which a submission may be ahead of the replicated clock. */
   public static final long MAX_CLOCK_SKEW_MS = 60_000;
 
   private static final long INITIAL_RETENTION_MS = 600_000;
@@ -77,7 +78,7 @@
 
   private ControlState() {}
 
-  /** Returns the state before the first entry. */
+  /** Returns the initial state, before the first log entry. */
   public static ControlState create() {
     return new ControlState();
   }
@@ -106,7 +107,7 @@
     try {
       return Command.fromBytes(body);
     } catch (IOException e) {
-      throw new IllegalStateException("a committed command can't be read", e);
+      throw new IllegalStateException("cannot decode a committed command", e);
     }
   }
 
@@ -115,7 +116,7 @@
     if (known.isPresent()) {
       return answerResubmission(command, known.get());
     }
-    Optional<AdmissionRefused> refusal = refusalOf(command);
+    Optional<AdmissionRefused> refusal = checkAdmission(command);
     if (refusal.isPresent()) {
       return refusal.get();
     }
@@ -144,7 +145,7 @@
     if (!known.digest().equals(command.digest())) {
       return new AdmissionRefused(
           RefusalReason.CONFLICT,
-          "submissionId: value \"%s\" stands for another payload; allowed: an unused id"
+          "submissionId: value \"%s\" was already used with another payload; allowed: an unused id"
               .formatted(command.submissionId()));
     }
     if (known.outcome().isPresent()) {
@@ -160,7 +161,7 @@
     return new Attached(known.jobId(), known.ownerEntryId());
   }
 
-  private Optional<AdmissionRefused> refusalOf(AdmitJob command) {
+  private Optional<AdmissionRefused> checkAdmission(AdmitJob command) {
     long oldestMs = Math.max(floorMs, clockMs - retentionMs);
     if (command.submittedAtMs() < oldestMs) {
       return refused(
@@ -206,13 +207,13 @@
       return new OutcomeStale(row.epoch());
     }
     if (row.outcome().isEmpty()) {
-      jobs.end(row, command.outcome());
+      jobs.recordOutcome(row, command.outcome());
     }
     return new OutcomeCommitted();
   }
 
   private CommandResult registerEntry(RegisterEntry command) {
-    boolean replaces =
+    boolean replacesLiveIncarnation =
         members.entries().stream()
             .anyMatch(
                 row ->
@@ -221,7 +222,7 @@
                         && row.incarnation() < command.incarnation());
     CommandResult result = members.register(command, clockMs);
     if (result instanceof MemberAccepted) {
-      if (replaces) {
+      if (replacesLiveIncarnation) {
         jobs.reassign(command.entryId(), members.liveEntries());
       }
       jobs.reassign("", members.liveEntries());
@@ -239,7 +240,8 @@
 
   private CommandResult advanceClock(AdvanceClock command) {
     retentionMs = command.retentionMs();
-    // The floor never falls, so a longer retention can't let a forgotten submission in again.
+    // The floor never decreases: otherwise a longer retention would readmit a submission whose
+    // record has already been deleted.
     floorMs = Math.max(floorMs, clockMs - retentionMs);
     jobs.retire(floorMs);
     members.retire(floorMs);
@@ -250,19 +252,25 @@
     EvacuatedZones before = evacuations.current();
     CommandResult result = evacuations.apply(command, clockMs);
     if (!evacuations.current().equals(before)) {
-      members.zoneChanged();
+      members.onEvacuationChange();
     }
     return result;
   }
 
-  // Reads.
+  // Queries.
 
-  /** Returns the replicated clock, in milliseconds of the leaders' wall clocks. */
+  /**
+   * Returns the replicated clock: the latest wall-clock time, in milliseconds, with which a leader
+   * stamped a command.
+   */
   public long clockMs() {
     return clockMs;
   }
 
-  /** Returns the time before which submissions are forgotten. */
+  /**
+   * Returns the submission time, in milliseconds, before which the records of ended jobs are
+   * deleted.
+   */
   public long floorMs() {
     return floorMs;
   }
@@ -272,32 +280,41 @@
     return settings.tree();
   }
 
-  /** Returns what brings a holder of a settings revision up to date; empty if it is. */
+  /**
+   * Returns the update from a settings revision to the current one; empty if the revision is
+   * current.
+   */
   public Optional<SettingsUpdate> settingsSince(long revision) {
     return settings.updateSince(revision);
   }
 
-  /** Returns the members, for a holder of another version of them. */
+  /**
+   * Returns the agents that are not gone, with their effective states; empty if the version is
+   * current.
+   */
   public Optional<MembersUpdate> membersSince(long version) {
     return members.updateSince(version);
   }
 
-  /** Returns the entries. */
+  /** Returns the latest incarnation of every entry, live or ended. */
   public Collection<EntryRow> entries() {
     return List.copyOf(members.entries());
   }
 
-  /** Returns the agents. */
+  /** Returns the latest incarnation of every agent, including those that are gone. */
   public Collection<AgentRow> agents() {
     return List.copyOf(members.agents());
   }
 
-  /** Returns an agent by its name. */
+  /** Returns the latest incarnation of an agent; empty if the agent is unknown. */
   public Optional<AgentRow> agent(String agentId) {
     return members.agent(agentId);
   }
 
-  /** Returns the state that an agent is to act on: no new work in an evacuated zone. */
+  /**
+   * Returns the state that applies to an agent: {@code DRAINING} instead of {@code LIVE} while its
+   * availability zone is evacuated.
+   */
   public MemberState effectiveState(AgentInfo agent) {
     return members.effectiveState(agent);
   }
@@ -307,27 +324,30 @@
     return members.isLiveEntry(entryId, incarnation);
   }
 
-  /** Returns whether an incarnation of an agent is a member. */
+  /** Returns whether an incarnation of an agent is the current one and not gone. */
   public boolean isCurrentAgent(String agentId, long incarnation) {
     return members.isCurrentAgent(agentId, incarnation);
   }
 
-  /** Returns the agents whose knowledge of a job may be lost. */
+  /**
+   * Returns the agents that ended after a job was admitted, without a planned stop, and so may have
+   * lost what they knew of its tasks.
+   */
   public List<String> agentsLostSince(JobRow job) {
-    return members.lostSince(job.service(), job.jobId());
+    return members.agentsLostSince(job.service(), job.jobId());
   }
 
-  /** Returns a job by its number. */
+  /** Returns a job by its id. */
   public Optional<JobRow> job(long jobId) {
     return jobs.find(jobId);
   }
 
-  /** Returns a job by its key. */
+  /** Returns a job by its submission key. */
   public Optional<JobRow> job(String caller, String submissionId) {
     return jobs.find(caller, submissionId);
   }
 
-  /** Returns the number of submissions that are remembered. */
+  /** Returns the number of submissions whose record is kept. */
   public int jobCount() {
     return jobs.size();
   }
@@ -337,36 +357,39 @@
     return jobs.runningCount();
   }
 
-  /** Returns the jobs that an entry must take over. */
+  /**
+   * Returns the running jobs that were reassigned to an incarnation of an entry, except those it
+   * already knows.
+   */
   public List<OwnedJob> jobsAdoptedBy(String entryId, long incarnation, List<Long> knownJobIds) {
     return jobs.jobsAdoptedBy(entryId, incarnation, knownJobIds).stream()
         .map(row -> new OwnedJob(row.jobId(), row.epoch()))
         .toList();
   }
 
-  /** Returns the documents. */
+  /** Returns the highest version of every document. */
   public Collection<DocumentRow> documents() {
     return documents.rows();
   }
 
-  /** Returns the version of a document that holds. */
+  /** Returns the highest version of a document. */
   public Optional<DocumentRow> document(String name) {
     return documents.find(name);
   }
 
-  /** Returns the evacuated availability zones, and the version of them. */
+  /** Returns the evacuated availability zones and their version. */
   public EvacuatedZones evacuatedZones() {
     return evacuations.current();
   }
 
-  /** Returns the audit trail, oldest line first. */
+  /** Returns the audit trail, oldest row first. */
   public List<AuditRow> audit() {
     return audit.rows();
   }
 
   // Snapshots.
 
-  /** Returns the whole state as bytes. Cost is linear in its size. */
+  /** Returns the encoded state. The cost is linear in the size of the state. */
   public Bytes toBytes() {
     ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(buffer);
@@ -392,7 +415,7 @@
     }
   }
 
-  /** Returns the state that {@link #toBytes} wrote; the state before the first entry for none. */
+  /** Returns the state that {@link #toBytes} encoded; the initial state if there are no bytes. */
   public static ControlState fromBytes(Bytes bytes) throws IOException {
     ControlState state = new ControlState();
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes.toArray()));
--- a/core/src/main/java/io/hingehoist/control/DocumentTable.java
+++ b/core/src/main/java/io/hingehoist/control/DocumentTable.java
@@ -14,26 +14,28 @@
 import java.util.function.Consumer;
 
 /**
- * Named documents with versions that their publishers choose: of each, the highest version holds.
- * Owned by {@link ControlState}.
+ * The highest version of each named document; publishers choose the version numbers. Not
+ * thread-safe: confined to the control thread.
  */
 final class DocumentTable {
   private final Map<String, DocumentRow> documents = new TreeMap<>();
 
   /**
-   * Takes a version in if it is above the one that is held. A lower one is acknowledged and changes
-   * nothing; the held one with another content is a conflict.
+   * Stores a version that is higher than the current one. A lower version is acknowledged without a
+   * change; the current version with different content is a conflict.
    */
   CommandResult apply(PublishDocument command) {
-    DocumentRow held = documents.get(command.name());
-    if (held == null || command.version() > held.version()) {
+    DocumentRow current = documents.get(command.name());
+    if (current == null || command.version() > current.version()) {
       documents.put(
           command.name(), new DocumentRow(command.name(), command.version(), command.content()));
       return new DocumentAccepted(command.version());
     }
     boolean conflicts =
-        command.version() == held.version() && !command.content().equals(held.content());
-    return conflicts ? new DocumentConflict(held.version()) : new DocumentAccepted(held.version());
+        command.version() == current.version() && !command.content().equals(current.content());
+    return conflicts
+        ? new DocumentConflict(current.version())
+        : new DocumentAccepted(current.version());
   }
 
   Optional<DocumentRow> find(String name) {
--- a/core/src/main/java/io/hingehoist/control/EvacuationTable.java
+++ b/core/src/main/java/io/hingehoist/control/EvacuationTable.java
@@ -12,12 +12,15 @@
 import java.util.function.Consumer;
 
 /**
- * The availability zones that operators have evacuated. Orders about a zone take effect in log
- * order, and one that asks for what already holds is accepted again: its answer may have been lost.
- * Owned by {@link ControlState}.
+ * The availability zones that operators have evacuated. Commands take effect in log order. A
+ * command whose result is already in effect is accepted again, because the answer to the first one
+ * may have been lost. Not thread-safe: confined to the control thread.
  */
 final class EvacuationTable {
-  /** The most zones at once, a hundred times those of the largest deployment that is planned. */
+  /**
+   * The maximum number of evacuated zones: a hundred times the number of zones of the largest
+   * planned deployment.
+   */
   static final int MAX_ZONES = 1_000;
 
   private final AuditTrail audit;
@@ -27,23 +30,23 @@
     this.audit = audit;
   }
 
-  /** Takes an order in. */
-  CommandResult apply(ChangeZone order, long nowMs) {
-    if (isEvacuated(order.zone()) == order.evacuated()) {
+  /** Applies a command that evacuates or restores a zone. */
+  CommandResult apply(ChangeZone command, long nowMs) {
+    if (isEvacuated(command.zone()) == command.evacuated()) {
       return new ZoneAccepted(current.version());
     }
     TreeSet<String> zones = new TreeSet<>(current.zones());
-    if (!order.evacuated()) {
-      zones.remove(order.zone());
+    if (!command.evacuated()) {
+      zones.remove(command.zone());
     } else if (zones.size() < MAX_ZONES) {
-      zones.add(order.zone());
+      zones.add(command.zone());
     } else {
       return new ZoneRefused(
-          "zone: value \"%s\" would be evacuated beside %d others; allowed: at most %d"
-              .formatted(order.zone(), zones.size(), MAX_ZONES));
+          "zone: value \"%s\" cannot be evacuated in addition to %d others; allowed: at most %d"
+              .formatted(command.zone(), zones.size(), MAX_ZONES));
     }
     current = new EvacuatedZones(current.version() + 1, List.copyOf(zones));
-    audit.addZoneChange(nowMs, order, current.version());
+    audit.addZoneChange(nowMs, command, current.version());
     return new ZoneAccepted(current.version());
   }
 
@@ -51,7 +54,7 @@
     return current.zones().contains(zone);
   }
 
-  /** Returns the evacuated zones and their version, as processes are told. */
+  /** Returns the evacuated zones and their version, as sent to the processes. */
   EvacuatedZones current() {
     return current;
   }
--- a/core/src/main/java/io/hingehoist/control/JobTable.java
+++ b/core/src/main/java/io/hingehoist/control/JobTable.java
@@ -13,16 +13,19 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Every submission within the retention. Owned by {@link ControlState}. */
+/**
+ * The records of all running jobs and of all ended jobs submitted within the retention. Not
+ * thread-safe: confined to the control thread.
+ */
 final class JobTable {
-  private record Key(String caller, String submissionId) {}
+  private record SubmissionKey(String caller, String submissionId) {}
 
-  private final Map<Key, JobRow> byKey = new LinkedHashMap<>();
+  private final Map<SubmissionKey, JobRow> bySubmission = new LinkedHashMap<>();
   private final Map<Long, JobRow> byId = new HashMap<>();
-  private final TreeMap<Long, JobRow> running = new TreeMap<>();
+  private final TreeMap<Long, JobRow> runningById = new TreeMap<>();
 
   Optional<JobRow> find(String caller, String submissionId) {
-    return Optional.ofNullable(byKey.get(new Key(caller, submissionId)));
+    return Optional.ofNullable(bySubmission.get(new SubmissionKey(caller, submissionId)));
   }
 
   Optional<JobRow> find(long jobId) {
@@ -30,34 +33,38 @@
   }
 
   int size() {
-    return byKey.size();
+    return bySubmission.size();
   }
 
   int runningCount() {
-    return running.size();
+    return runningById.size();
   }
 
   void put(JobRow row) {
-    byKey.put(new Key(row.caller(), row.submissionId()), row);
+    bySubmission.put(new SubmissionKey(row.caller(), row.submissionId()), row);
     byId.put(row.jobId(), row);
     if (row.outcome().isPresent()) {
-      running.remove(row.jobId());
+      runningById.remove(row.jobId());
     } else {
-      running.put(row.jobId(), row);
+      runningById.put(row.jobId(), row);
     }
   }
 
   /** Stores the outcome and drops the payloads, which are no longer needed. */
-  JobRow end(JobRow row, JobOutcome outcome) {
-    JobRow endedRow = copy(row, row.epoch(), row.ownerEntryId(), row.ownerIncarnation(), outcome);
-    put(endedRow);
-    return endedRow;
+  JobRow recordOutcome(JobRow row, JobOutcome outcome) {
+    JobRow completedRow =
+        copy(row, row.epoch(), row.ownerEntryId(), row.ownerIncarnation(), outcome);
+    put(completedRow);
+    return completedRow;
   }
 
-  /** Gives the running jobs of an entry to live ones, each under a higher epoch. */
+  /**
+   * Reassigns the running jobs of an entry to live entries, each under a higher epoch. Without a
+   * live entry the jobs have no owner, under the empty entry id.
+   */
   void reassign(String entryId, List<EntryRow> liveEntries) {
     List<JobRow> orphans =
-        running.values().stream().filter(row -> row.ownerEntryId().equals(entryId)).toList();
+        runningById.values().stream().filter(row -> row.ownerEntryId().equals(entryId)).toList();
     for (JobRow row : orphans) {
       assign(row, liveEntries);
     }
@@ -72,10 +79,13 @@
     put(copy(row, row.epoch() + 1, owner.entryId(), owner.incarnation(), null));
   }
 
-  /** Returns the running jobs that an entry took over from another, except some that it knows. */
+  /**
+   * Returns the running jobs that were reassigned to an incarnation of an entry, except those it
+   * already knows.
+   */
   List<JobRow> jobsAdoptedBy(String entryId, long incarnation, List<Long> knownJobIds) {
     List<JobRow> adopted = new ArrayList<>();
-    for (JobRow row : running.values()) {
+    for (JobRow row : runningById.values()) {
       boolean owned = row.ownerEntryId().equals(entryId) && row.ownerIncarnation() == incarnation;
       if (owned && row.epoch() > 1 && !knownJobIds.contains(row.jobId())) {
         adopted.add(row);
@@ -105,9 +115,9 @@
         Optional.ofNullable(outcome));
   }
 
-  /** Forgets the ended jobs that were submitted before a time. */
+  /** Deletes the records of ended jobs that were submitted before a time. */
   void retire(long floorMs) {
-    byKey
+    bySubmission
         .values()
         .removeIf(
             row -> {
@@ -120,6 +130,6 @@
   }
 
   void writeTo(Consumer<StateRow> out) {
-    byKey.values().forEach(out);
+    bySubmission.values().forEach(out);
   }
 }
--- a/core/src/main/java/io/hingehoist/control/Liveness.java
+++ b/core/src/main/java/io/hingehoist/control/Liveness.java
@@ -13,14 +13,15 @@
 import java.util.Map;
 
 /**
- * The leader's view of which members are heard from. It is not replicated: a new leader gives every
- * member a whole timeout from the moment it leads. Not thread-safe: the control thread owns it.
+ * The leader's failure detector for members, based on their heartbeats. It is not replicated: a new
+ * leader gives every member a full timeout from the start of its leadership. Not thread-safe:
+ * confined to the control thread.
  */
 public final class Liveness {
   private record Member(Role role, String nodeId, long incarnation) {}
 
   private final long timeoutMs;
-  private final Map<Member, Long> heardAtMs = new HashMap<>();
+  private final Map<Member, Long> heartbeatsAtMs = new HashMap<>();
   private long leadingSinceMs;
 
   private Liveness(long timeoutMs) {
@@ -28,49 +29,50 @@
   }
 
   /**
-   * Creates a view.
+   * Creates a failure detector.
    *
-   * @param timeoutMs the silence after which a member is gone; longer than a lease, so that the
-   *     member has stopped by itself before
+   * @param timeoutMs the time without a heartbeat after which a member is considered gone; longer
+   *     than a lease, so that the member has already stopped by itself
    */
   public static Liveness create(long timeoutMs) {
     return new Liveness(timeoutMs);
   }
 
-  /** Starts over, as a new leader must. */
+  /** Discards all heartbeats, at the start of a leadership. */
   public void reset(long nowMs) {
-    heardAtMs.clear();
+    heartbeatsAtMs.clear();
     leadingSinceMs = nowMs;
   }
 
-  /** Notes that a member was heard. */
+  /** Records a heartbeat of a member. */
   public void recordHeartbeat(Role role, String nodeId, long incarnation, long nowMs) {
-    heardAtMs.put(new Member(role, nodeId, incarnation), nowMs);
+    heartbeatsAtMs.put(new Member(role, nodeId, incarnation), nowMs);
   }
 
-  /** Returns the commands that end the members which have been silent for too long. */
+  /** Returns the commands that end the members whose heartbeats have timed out. */
   public List<Command> expiryCommands(ControlState state, long nowMs) {
-    List<Command> due = new ArrayList<>();
+    List<Command> commands = new ArrayList<>();
     for (EntryRow row : state.entries()) {
-      if (row.live() && isSilent(Role.ENTRY, row.entryId(), row.incarnation(), nowMs)) {
-        due.add(new EndEntry(row.entryId(), row.incarnation(), "missed heartbeats"));
+      if (row.live() && hasTimedOut(Role.ENTRY, row.entryId(), row.incarnation(), nowMs)) {
+        commands.add(new EndEntry(row.entryId(), row.incarnation(), "missed heartbeats"));
       }
     }
     for (AgentRow row : state.agents()) {
       String agentId = row.info().agentId();
       long incarnation = row.info().incarnation();
-      boolean present = row.info().state() != MemberState.GONE;
-      if (present && isSilent(Role.AGENT, agentId, incarnation, nowMs)) {
-        due.add(
+      boolean isMember = row.info().state() != MemberState.GONE;
+      if (isMember && hasTimedOut(Role.AGENT, agentId, incarnation, nowMs)) {
+        commands.add(
             new ChangeAgentState(
                 agentId, incarnation, MemberState.GONE, "missedHeartbeats", "control"));
       }
     }
-    return due;
+    return commands;
   }
 
-  private boolean isSilent(Role role, String nodeId, long incarnation, long nowMs) {
-    long heard = heardAtMs.getOrDefault(new Member(role, nodeId, incarnation), leadingSinceMs);
-    return nowMs - Math.max(heard, leadingSinceMs) > timeoutMs;
+  private boolean hasTimedOut(Role role, String nodeId, long incarnation, long nowMs) {
+    long lastHeartbeatAtMs =
+        heartbeatsAtMs.getOrDefault(new Member(role, nodeId, incarnation), leadingSinceMs);
+    return nowMs - Math.max(lastHeartbeatAtMs, leadingSinceMs) > timeoutMs;
   }
 }
--- a/core/src/main/java/io/hingehoist/control/MemberTable.java
+++ b/core/src/main/java/io/hingehoist/control/MemberTable.java
@@ -21,9 +21,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The entries and agents of the deployment. Owned by {@link ControlState}. */
+/** The entries and agents of the deployment. Not thread-safe: confined to the control thread. */
 final class MemberTable {
-  /** The source of a state that an agent reports of itself after a planned stop. */
+  /** The source of a state change that an agent reports about itself for a planned stop. */
   static final String PLANNED_STOP = "plannedStop";
 
   private static final String REGISTRATION = "registration";
@@ -32,7 +32,7 @@
   private final EvacuationTable evacuations;
   private final Map<String, EntryRow> entries = new TreeMap<>();
   private final Map<String, AgentRow> agents = new TreeMap<>();
-  private final List<EndedAgentRow> ended = new ArrayList<>();
+  private final List<EndedAgentRow> endedAgents = new ArrayList<>();
   private long version;
 
   MemberTable(AuditTrail audit, EvacuationTable evacuations) {
@@ -72,7 +72,10 @@
         && row.info().state() != MemberState.GONE;
   }
 
-  /** Registers an incarnation of an entry; the caller ends the one before. */
+  /**
+   * Registers an incarnation of an entry. The caller reassigns the jobs of the previous
+   * incarnation.
+   */
   CommandResult register(RegisterEntry command, long nowMs) {
     EntryRow known = entries.get(command.entryId());
     if (isLiveEntry(command.entryId(), command.incarnation())) {
@@ -104,11 +107,11 @@
     if (known != null && known.info().incarnation() >= command.incarnation()) {
       return new MemberRefused(known.info().incarnation(), "the incarnation has ended");
     }
-    boolean staysDrained = known != null && isDrainedByOthers(known);
+    boolean remainsDrained = known != null && isExternallyDrained(known);
     if (known != null && known.info().state() != MemberState.GONE) {
-      end(known, index, nowMs);
+      recordEnded(known, index, nowMs);
     }
-    MemberState state = staysDrained ? MemberState.DRAINING : MemberState.LIVE;
+    MemberState state = remainsDrained ? MemberState.DRAINING : MemberState.LIVE;
     AgentInfo info =
         new AgentInfo(
             command.agentId(),
@@ -119,15 +122,18 @@
             command.slots(),
             command.connections(),
             state);
-    String source = staysDrained ? known.stateSource() : REGISTRATION;
+    String source = remainsDrained ? known.stateSource() : REGISTRATION;
     put(new AgentRow(info, source));
     audit.addMemberChange(
         nowMs, command.agentId(), "registerAgent", command.agentId(), "", state.name());
     return new MemberAccepted();
   }
 
-  /** An operator's or the platform's drain outlives a restart; an agent's own does not. */
-  private static boolean isDrainedByOthers(AgentRow row) {
+  /**
+   * Returns whether an operator or the platform drains the agent. Such a drain survives a restart
+   * of the agent; its own drain does not.
+   */
+  private static boolean isExternallyDrained(AgentRow row) {
     return row.info().state() == MemberState.DRAINING && !row.stateSource().equals(PLANNED_STOP);
   }
 
@@ -138,17 +144,18 @@
           0, "agentId: value \"%s\" is not a member".formatted(command.agentId()));
     }
     AgentInfo info = row.info();
-    boolean otherIncarnation =
+    boolean incarnationDiffers =
         command.incarnation() != 0 && command.incarnation() != info.incarnation();
-    if (otherIncarnation || info.state() == MemberState.GONE) {
+    if (incarnationDiffers || info.state() == MemberState.GONE) {
       return new MemberRefused(info.incarnation(), "the incarnation has ended");
     }
     if (info.state() == command.state()) {
       return new MemberAccepted();
     }
-    // A planned stop ends after every job with the agent has retired, so no knowledge is lost.
+    // A planned stop completes only after every job with tasks at the agent has been retired, so no
+    // knowledge of started tasks is lost.
     if (command.state() == MemberState.GONE && !command.source().equals(PLANNED_STOP)) {
-      end(row, index, nowMs);
+      recordEnded(row, index, nowMs);
     }
     put(new AgentRow(withState(info, command.state()), command.source()));
     audit.addMemberChange(
@@ -173,9 +180,10 @@
         state);
   }
 
-  private void end(AgentRow row, long index, long nowMs) {
+  private void recordEnded(AgentRow row, long index, long nowMs) {
     AgentInfo info = row.info();
-    ended.add(new EndedAgentRow(info.agentId(), info.incarnation(), info.service(), index, nowMs));
+    endedAgents.add(
+        new EndedAgentRow(info.agentId(), info.incarnation(), info.service(), index, nowMs));
   }
 
   private void put(AgentRow row) {
@@ -183,9 +191,9 @@
     version++;
   }
 
-  /** Returns the agents of a service that ended, without a planned stop, after a log index. */
-  List<String> lostSince(String service, long index) {
-    return ended.stream()
+  /** Returns the agents of a service that ended after a log index without a planned stop. */
+  List<String> agentsLostSince(String service, long index) {
+    return endedAgents.stream()
         .filter(row -> row.service().equals(service) && row.endedAtIndex() > index)
         .map(EndedAgentRow::agentId)
         .distinct()
@@ -196,39 +204,46 @@
     if (knownVersion == version) {
       return Optional.empty();
     }
-    List<AgentInfo> present = new ArrayList<>();
+    List<AgentInfo> agentInfos = new ArrayList<>();
     for (AgentRow row : agents.values()) {
       if (row.info().state() != MemberState.GONE) {
-        present.add(withState(row.info(), effectiveState(row.info())));
+        agentInfos.add(withState(row.info(), effectiveState(row.info())));
       }
     }
-    return Optional.of(new MembersUpdate(version, present));
+    return Optional.of(new MembersUpdate(version, agentInfos));
   }
 
-  /** Returns the state that an agent is to act on: no new work in an evacuated zone. */
+  /**
+   * Returns the state that applies to an agent: {@code DRAINING} instead of {@code LIVE} while its
+   * availability zone is evacuated.
+   */
   MemberState effectiveState(AgentInfo agent) {
-    boolean emptied = agent.state() == MemberState.LIVE && evacuations.isEvacuated(agent.zone());
-    return emptied ? MemberState.DRAINING : agent.state();
+    boolean inEvacuatedZone =
+        agent.state() == MemberState.LIVE && evacuations.isEvacuated(agent.zone());
+    return inEvacuatedZone ? MemberState.DRAINING : agent.state();
   }
 
-  /** Notes that what agents are to act on may have changed with their zone. */
-  void zoneChanged() {
+  /**
+   * Increments the version, because the effective states of agents may have changed with their
+   * zone.
+   */
+  void onEvacuationChange() {
     version++;
   }
 
-  /** Forgets ended agents that no running job can have used. */
+  /** Deletes ended agents that no running job can have used. */
   void retire(long floorMs) {
-    ended.removeIf(row -> row.endedAtMs() < floorMs);
+    endedAgents.removeIf(row -> row.endedAtMs() < floorMs);
   }
 
   void writeTo(Consumer<StateRow> out) {
     entries.values().forEach(out);
     agents.values().forEach(out);
-    ended.forEach(out);
+    endedAgents.forEach(out);
   }
 
-  void restoreVersion(long restored) {
-    version = restored;
+  void restoreVersion(long restoredVersion) {
+    version = restoredVersion;
   }
 
   void restore(EntryRow row) {
@@ -240,6 +255,6 @@
   }
 
   void restore(EndedAgentRow row) {
-    ended.add(row);
+    endedAgents.add(row);
   }
 }
--- a/core/src/main/java/io/hingehoist/control/SettingsTable.java
+++ b/core/src/main/java/io/hingehoist/control/SettingsTable.java
@@ -23,17 +23,26 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The settings tree with its revisions and answered changes. Owned by {@link ControlState}. */
+/**
+ * The settings tree, its latest revisions, and the answered changes. Not thread-safe: confined to
+ * the control thread.
+ */
 final class SettingsTable {
-  /** Changes kept for others to catch up by; one further behind gets the whole tree. */
+  /**
+   * The number of changes kept for incremental updates; a process further behind receives the whole
+   * tree.
+   */
   private static final int MAX_REVISIONS = 1_024;
 
-  /** Answers kept for resends; an older resend is refused for its stale base. */
-  private static final int MAX_ANSWERED = 20_000;
+  /**
+   * The number of answers kept for repeated requests; an older repeat is refused because of its
+   * stale base revision.
+   */
+  private static final int MAX_ANSWERED_CHANGES = 20_000;
 
   private final AuditTrail audit;
   private final Deque<RevisionRow> revisions = new ArrayDeque<>();
-  private final Map<String, AnsweredChangeRow> answered = new LinkedHashMap<>();
+  private final Map<String, AnsweredChangeRow> answeredChanges = new LinkedHashMap<>();
   private SettingsTree tree = SettingsTree.empty();
 
   SettingsTable(AuditTrail audit) {
@@ -46,7 +55,7 @@
 
   CommandResult apply(ChangeSettings change, long nowMs) {
     Bytes content = contentOf(change);
-    AnsweredChangeRow earlier = answered.get(change.changeId());
+    AnsweredChangeRow earlier = answeredChanges.get(change.changeId());
     if (earlier != null && earlier.content().equals(content)) {
       return new SettingsAccepted(earlier.revision());
     }
@@ -54,7 +63,7 @@
         SettingsPath.parse(change.path())
             .flatMap(path -> tree.override(path, change.key()))
             .orElse("(inherit)");
-    Optional<SettingsRefused> refusal = refusalOf(change, earlier != null);
+    Optional<SettingsRefused> refusal = checkChange(change, earlier != null);
     if (refusal.isPresent()) {
       audit.addSettingsChange(
           nowMs, change, tree.revision(), before, false, refusal.get().detail());
@@ -65,8 +74,8 @@
     return new SettingsAccepted(tree.revision());
   }
 
-  private Optional<SettingsRefused> refusalOf(ChangeSettings change, boolean idTaken) {
-    if (idTaken) {
+  private Optional<SettingsRefused> checkChange(ChangeSettings change, boolean changeIdUsed) {
+    if (changeIdUsed) {
       return refused(
           SettingsRefusalReason.CHANGE_ID_CONFLICT,
           "changeId: value \"%s\" was used for another change; allowed: an unused id"
@@ -97,28 +106,30 @@
     if (revisions.size() > MAX_REVISIONS) {
       revisions.removeFirst();
     }
-    answered.put(
+    answeredChanges.put(
         change.changeId(), new AnsweredChangeRow(change.changeId(), content, revision, nowMs));
-    if (answered.size() > MAX_ANSWERED) {
-      answered.remove(answered.keySet().iterator().next());
+    if (answeredChanges.size() > MAX_ANSWERED_CHANGES) {
+      answeredChanges.remove(answeredChanges.keySet().iterator().next());
     }
   }
 
-  /** The whole request counts: a resend is the same in every field. */
+  /**
+   * Returns the content by which a repeated request is recognized: it is the same in every field.
+   */
   private static Bytes contentOf(ChangeSettings change) {
     return change.toBytes();
   }
 
-  /** Returns what brings a holder of a revision up to date; empty if it is. */
+  /** Returns the update from a revision to the current one; empty if the revision is current. */
   Optional<SettingsUpdate> updateSince(long revision) {
     if (revision == tree.revision()) {
       return Optional.empty();
     }
-    boolean covered =
+    boolean historyCovers =
         revision < tree.revision()
             && !revisions.isEmpty()
             && revisions.getFirst().revision() <= revision + 1;
-    if (!covered) {
+    if (!historyCovers) {
       return Optional.of(new SettingsUpdate(tree.revision(), true, tree.toEntries()));
     }
     List<SettingEntry> changes = new ArrayList<>();
@@ -134,7 +145,7 @@
     tree.toEntries()
         .forEach(e -> out.accept(new SettingRow(e.path(), e.key(), e.value().orElseThrow())));
     revisions.forEach(out);
-    answered.values().forEach(out);
+    answeredChanges.values().forEach(out);
   }
 
   void restoreRevision(long revision) {
@@ -151,6 +162,6 @@
   }
 
   void restore(AnsweredChangeRow row) {
-    answered.put(row.changeId(), row);
+    answeredChanges.put(row.changeId(), row);
   }
 }
--- a/core/src/main/java/io/hingehoist/directory/PeerDirectory.java
+++ b/core/src/main/java/io/hingehoist/directory/PeerDirectory.java
@@ -8,105 +8,112 @@
 import java.util.Objects;
 
 /**
- * The processes that were heard of lately, by address. It is knowledge and not agreement: a row may
- * be stale, and nothing but a connection attempt depends on it.
+ * The recently known processes, by address. The directory is not replicated by consensus: a record
+ * may be stale, and only connection attempts depend on it.
  *
- * <p>Only what a process told of itself is passed on, so that a row doesn't outlive its process by
- * going round. Times are milliseconds of a clock that never goes back. Not thread-safe.
+ * <p>Only records that a process announced itself are relayed. Otherwise processes could keep
+ * renewing each other's record of a process that has ended. Times are milliseconds of a monotonic
+ * clock. Not thread-safe.
  */
 public final class PeerDirectory {
-  /** The most rows; more are not taken in. */
+  /** The maximum number of records; further processes are ignored. */
   public static final int MAX_PEERS = 20_000;
 
-  /** For how long a process that told of itself counts as heard: two announcements and a second. */
-  private static final long FRESH_MS = 5_000;
+  /** The time for which an announcement is recent: two announcement intervals and one second. */
+  private static final long RECENT_ANNOUNCEMENT_MS = 5_000;
 
-  private final long keptMs;
-  private final Map<String, Row> rows = new LinkedHashMap<>();
+  private final long retentionMs;
+  private final Map<String, PeerRecord> peerRecords = new LinkedHashMap<>();
   private long version = 1;
 
-  private static final class Row {
+  private static final class PeerRecord {
     private Peer peer;
-    private long toldAtMs = Long.MIN_VALUE / 2;
-    private long heardAtMs;
+    private long announcedAtMs = Long.MIN_VALUE / 2;
+    private long lastHeardAtMs;
   }
 
-  private PeerDirectory(long keptMs) {
-    this.keptMs = keptMs;
+  private PeerDirectory(long retentionMs) {
+    this.retentionMs = retentionMs;
   }
 
   /**
    * Creates an empty directory.
    *
-   * @param keptMs how long a process is kept after it was last heard of
+   * @param retentionMs the time for which a record is kept after it was last announced, relayed or
+   *     confirmed
    */
-  public static PeerDirectory create(long keptMs) {
-    return new PeerDirectory(keptMs);
+  public static PeerDirectory create(long retentionMs) {
+    return new PeerDirectory(retentionMs);
   }
 
-  /** Notes what a process tells of itself. */
+  /** Records what a process announced about itself. */
   public void recordAnnounced(Peer peer, long nowMs) {
-    Row row = take(peer, nowMs);
-    if (row != null) {
-      row.toldAtMs = nowMs;
+    PeerRecord peerRecord = addOrUpdate(peer, nowMs);
+    if (peerRecord != null) {
+      peerRecord.announcedAtMs = nowMs;
     }
   }
 
-  /** Notes what others tell of a process. */
+  /** Records what another process relayed about a process. */
   public void recordRelayed(Peer peer, long nowMs) {
-    take(peer, nowMs);
+    addOrUpdate(peer, nowMs);
   }
 
-  private Row take(Peer peer, long nowMs) {
-    Row row = rows.get(peer.address());
-    if (row == null && rows.size() >= MAX_PEERS) {
+  private PeerRecord addOrUpdate(Peer peer, long nowMs) {
+    PeerRecord peerRecord = peerRecords.get(peer.address());
+    if (peerRecord == null && peerRecords.size() >= MAX_PEERS) {
       return null;
     }
-    if (row == null) {
-      row = new Row();
-      rows.put(peer.address(), row);
+    if (peerRecord == null) {
+      peerRecord = new PeerRecord();
+      peerRecords.put(peer.address(), peerRecord);
     }
-    boolean older = row.peer != null && row.peer.incarnation() > peer.incarnation();
-    if (!older && !Objects.equals(row.peer, peer)) {
-      row.peer = peer;
+    boolean isOlder = peerRecord.peer != null && peerRecord.peer.incarnation() > peer.incarnation();
+    if (!isOlder && !Objects.equals(peerRecord.peer, peer)) {
+      peerRecord.peer = peer;
       version++;
     }
-    row.heardAtMs = nowMs;
-    return row;
+    peerRecord.lastHeardAtMs = nowMs;
+    return peerRecord;
   }
 
-  /** Notes that one who knows says that nothing has changed. */
+  /** Renews every record, after a control replica has confirmed that the directory is unchanged. */
   public void refreshAll(long nowMs) {
-    rows.values().forEach(row -> row.heardAtMs = nowMs);
+    peerRecords.values().forEach(peerRecord -> peerRecord.lastHeardAtMs = nowMs);
   }
 
-  /** Forgets processes that were not heard of for long. */
+  /** Removes the records that have not been renewed within the retention. */
   public void expire(long nowMs) {
-    if (rows.values().removeIf(row -> nowMs - row.heardAtMs > keptMs)) {
+    if (peerRecords
+        .values()
+        .removeIf(peerRecord -> nowMs - peerRecord.lastHeardAtMs > retentionMs)) {
       version++;
     }
   }
 
-  /** Returns a number that rises with each change. */
+  /** Returns the version, which increases with each change. */
   public long version() {
     return version;
   }
 
   /** Returns every process. */
   public List<Peer> peers() {
-    return rows.values().stream().map(row -> row.peer).toList();
+    return peerRecords.values().stream().map(peerRecord -> peerRecord.peer).toList();
   }
 
   /** Returns the processes of a role. */
   public List<Peer> peers(Role role) {
-    return rows.values().stream().map(row -> row.peer).filter(p -> p.role() == role).toList();
+    return peerRecords.values().stream()
+        .map(peerRecord -> peerRecord.peer)
+        .filter(p -> p.role() == role)
+        .toList();
   }
 
-  /** Returns the processes that told of themselves a moment ago. */
+  /** Returns the processes that announced themselves recently. */
   public List<Peer> recentlyAnnounced(long nowMs) {
-    return rows.values().stream()
-        .filter(row -> nowMs - row.toldAtMs <= FRESH_MS)
-        .map(row -> row.peer)
+    return peerRecords.values().stream()
+        .filter(peerRecord -> nowMs - peerRecord.announcedAtMs <= RECENT_ANNOUNCEMENT_MS)
+        .map(peerRecord -> peerRecord.peer)
         .toList();
   }
 }
--- a/core/src/main/java/io/hingehoist/replication/Leadership.java
+++ b/core/src/main/java/io/hingehoist/replication/Leadership.java
@@ -20,21 +20,24 @@
 import java.util.function.Consumer;
 
 /**
- * What a replica keeps only while it leads: the progress of the others, read rounds, and replicas
- * that want to join. Owned by its {@link Replica}.
+ * The state that a replica keeps only while it leads: the progress of the other replicas, pending
+ * reads, and the learners. Not thread-safe: confined to the control thread.
  */
 final class Leadership {
   private static final long MAX_APPEND_BYTES = 1 << 20;
   private static final int SNAPSHOT_CHUNK_BYTES = 256 * 1024;
   private static final long MAX_UNACKED_ENTRIES = 20_000;
 
-  /** A learner this close to the end of the log may become a voter. */
-  private static final long CAUGHT_UP_ENTRIES = 100;
+  /** The maximum distance of a learner from the end of the log at which it may become a voter. */
+  private static final long MAX_LEARNER_LAG_ENTRIES = 100;
 
-  /** A voter that is silent for so many election timeouts makes room for a learner elsewhere. */
-  private static final long REPLACE_AFTER_TIMEOUTS = 3;
+  /**
+   * The number of election timeouts without an answer after which a voter may be removed in favor
+   * of a learner at another address.
+   */
+  private static final long VOTER_REPLACEMENT_TIMEOUTS = 3;
 
-  private record Read(long token, long round) {}
+  private record PendingRead(long token, long round) {}
 
   private final Replica replica;
   private final ReplicatedLog log;
@@ -42,9 +45,9 @@
   private final long termStartIndex;
   private final Map<String, Progress> voters = new LinkedHashMap<>();
   private final Map<String, Progress> learners = new LinkedHashMap<>();
-  private final List<Read> reads = new ArrayList<>();
+  private final List<PendingRead> pendingReads = new ArrayList<>();
   private long round;
-  private boolean roundWanted;
+  private boolean roundRequested;
 
   Leadership(Replica replica, ReplicaTiming timing, long termStartIndex, long nowMs) {
     this.replica = replica;
@@ -54,15 +57,15 @@
     refreshVoters(nowMs);
   }
 
-  /** Follows the latest configuration; keeps the progress of those that stay. */
+  /** Adopts the voters of the latest configuration; keeps the progress of known replicas. */
   void refreshVoters(long nowMs) {
-    Map<String, Progress> before = new LinkedHashMap<>(voters);
+    Map<String, Progress> previous = new LinkedHashMap<>(voters);
     voters.clear();
     for (ReplicaInfo voter : log.voters().voters()) {
       if (voter.replicaId().equals(replica.id())) {
         continue;
       }
-      Progress known = before.getOrDefault(voter.replicaId(), learners.get(voter.replicaId()));
+      Progress known = previous.getOrDefault(voter.replicaId(), learners.get(voter.replicaId()));
       Progress progress =
           known != null
               ? known
@@ -73,24 +76,24 @@
   }
 
   void requestRead(long token) {
-    reads.add(new Read(token, round + 1));
-    roundWanted = true;
+    pendingReads.add(new PendingRead(token, round + 1));
+    roundRequested = true;
   }
 
   List<Long> pendingReadTokens() {
-    return reads.stream().map(Read::token).toList();
+    return pendingReads.stream().map(PendingRead::token).toList();
   }
 
   /** Returns whether a quorum, this replica included, answered within an election timeout. */
   boolean hasQuorumContact(long nowMs) {
-    long heard =
+    long reachable =
         voters.values().stream()
-            .filter(p -> nowMs - p.lastAckMs < timing.electionTimeoutMs())
+            .filter(p -> nowMs - p.lastAckAtMs < timing.electionTimeoutMs())
             .count();
-    return heard + selfVote() >= quorum();
+    return reachable + selfCount() >= quorumSize();
   }
 
-  /** Returns the highest index that a quorum has synced. */
+  /** Returns the highest index that a quorum has synced to disk. */
   long quorumIndex() {
     return quorumValue(p -> p.matchIndex, replica.durableIndex());
   }
@@ -99,24 +102,24 @@
     return quorumValue(p -> p.ackedRound, round);
   }
 
-  private long quorumValue(java.util.function.ToLongFunction<Progress> value, long own) {
-    long[] values = new long[voters.size() + (int) selfVote()];
+  private long quorumValue(java.util.function.ToLongFunction<Progress> value, long ownValue) {
+    long[] values = new long[voters.size() + (int) selfCount()];
     int count = 0;
     for (Progress progress : voters.values()) {
       values[count++] = value.applyAsLong(progress);
     }
     if (count < values.length) {
-      values[count] = own;
+      values[count] = ownValue;
     }
     Arrays.sort(values);
-    return values[values.length - quorum()];
+    return values[values.length - quorumSize()];
   }
 
-  private long selfVote() {
+  private long selfCount() {
     return replica.isVoter() ? 1 : 0;
   }
 
-  private int quorum() {
+  private int quorumSize() {
     return log.voters().voters().size() / 2 + 1;
   }
 
@@ -125,12 +128,12 @@
     if (progress == null) {
       return;
     }
-    progress.lastAckMs = nowMs;
+    progress.lastAckAtMs = nowMs;
     progress.ackedRound = Math.max(progress.ackedRound, response.round());
     if (response.success()) {
-      progress.succeed(response.matchIndex());
+      progress.onAppendAccepted(response.matchIndex());
     } else {
-      progress.fail(response.matchIndex());
+      progress.onAppendRejected(response.matchIndex());
     }
   }
 
@@ -139,7 +142,7 @@
     if (progress == null || !progress.isReceivingSnapshot()) {
       return;
     }
-    progress.lastAckMs = nowMs;
+    progress.lastAckAtMs = nowMs;
     if (ack.lastIndex() == log.snapshot().lastIndex()) {
       progress.snapshotOffset = ack.nextOffset();
       progress.snapshotSentAtMs = 0;
@@ -151,7 +154,7 @@
     return voter != null ? voter : learners.get(replicaId);
   }
 
-  /** Takes in a replica that nobody leads, as a learner. */
+  /** Adds a replica that is not a voter as a learner. */
   void onJoinRequest(JoinRequest request, long nowMs) {
     if (voters.containsKey(request.replicaId()) || request.replicaId().equals(replica.id())) {
       return;
@@ -161,37 +164,38 @@
       learner = new Progress(request.replicaId(), request.address(), log.lastIndex() + 1, nowMs);
       learners.put(request.replicaId(), learner);
     }
-    learner.lastAckMs = nowMs;
+    learner.lastAckAtMs = nowMs;
   }
 
-  /** Sends what each replica lacks, heartbeats that are due, and a round for waiting reads. */
+  /** Sends missing entries, due heartbeats, and a new round for pending reads. */
   void flush(long nowMs, Consumer<ReplicaEffect> effects) {
-    if (roundWanted) {
+    if (roundRequested) {
       round++;
     }
-    long silentMs = 10 * timing.electionTimeoutMs();
-    learners.values().removeIf(p -> nowMs - p.lastAckMs > silentMs);
-    voters.values().forEach(p -> sendTo(p, nowMs, effects));
-    learners.values().forEach(p -> sendTo(p, nowMs, effects));
-    roundWanted = false;
+    long learnerTimeoutMs = 10 * timing.electionTimeoutMs();
+    learners.values().removeIf(p -> nowMs - p.lastAckAtMs > learnerTimeoutMs);
+    voters.values().forEach(p -> sendDue(p, nowMs, effects));
+    learners.values().forEach(p -> sendDue(p, nowMs, effects));
+    roundRequested = false;
   }
 
-  private void sendTo(Progress progress, long nowMs, Consumer<ReplicaEffect> effects) {
+  private void sendDue(Progress progress, long nowMs, Consumer<ReplicaEffect> effects) {
     boolean heartbeatDue = nowMs - progress.sentAtMs >= timing.heartbeatMs();
     if (progress.nextIndex <= log.baseIndex()) {
       sendSnapshot(progress, nowMs, effects);
-      if (!heartbeatDue && !roundWanted) {
+      if (!heartbeatDue && !roundRequested) {
         return;
       }
     }
-    boolean windowOpen = progress.nextIndex - progress.matchIndex <= MAX_UNACKED_ENTRIES;
+    boolean withinWindow = progress.nextIndex - progress.matchIndex <= MAX_UNACKED_ENTRIES;
     boolean lacksEntries =
         progress.nextIndex > log.baseIndex() && progress.nextIndex <= log.lastIndex();
-    boolean sendsEntries = lacksEntries && windowOpen;
-    if (!sendsEntries && !heartbeatDue && !roundWanted) {
+    boolean sendsEntries = lacksEntries && withinWindow;
+    if (!sendsEntries && !heartbeatDue && !roundRequested) {
       return;
     }
-    // A replica in need of a snapshot gets its heartbeat at the snapshot's index.
+    // A replica that needs a snapshot gets its heartbeat at the base index, as the log holds no
+    // earlier term.
     long prevIndex = Math.max(progress.nextIndex - 1, log.baseIndex());
     List<LogEntry> entries =
         sendsEntries ? log.slice(progress.nextIndex, MAX_APPEND_BYTES) : List.of();
@@ -226,7 +230,7 @@
     int size = snapshot.state().size();
     int from = (int) Math.min(progress.snapshotOffset, size);
     int to = Math.min(size, from + SNAPSHOT_CHUNK_BYTES);
-    Bytes piece = snapshot.state().slice(from, to);
+    Bytes chunk = snapshot.state().slice(from, to);
     effects.accept(
         new ReplicaEffect.Send(
             progress.address,
@@ -240,44 +244,48 @@
                 snapshot.lastTerm(),
                 snapshot.voters(),
                 from,
-                piece,
+                chunk,
                 to == size)));
     progress.snapshotSentAtMs = nowMs;
   }
 
-  /** Emits the reads whose round a quorum has answered, once this term has committed an entry. */
-  void releaseReads(Consumer<ReplicaEffect> effects) {
+  /**
+   * Emits {@link ReplicaEffect.ReadReady} for each read whose round a quorum has answered, once an
+   * entry of this term is committed.
+   */
+  void emitReadyReads(Consumer<ReplicaEffect> effects) {
     if (replica.commitIndex() < termStartIndex) {
       return;
     }
-    long answered = quorumRound();
-    Iterator<Read> waiting = reads.iterator();
-    while (waiting.hasNext()) {
-      Read read = waiting.next();
-      if (read.round() <= answered) {
-        waiting.remove();
+    long answeredRound = quorumRound();
+    Iterator<PendingRead> iterator = pendingReads.iterator();
+    while (iterator.hasNext()) {
+      PendingRead read = iterator.next();
+      if (read.round() <= answeredRound) {
+        iterator.remove();
         effects.accept(new ReplicaEffect.ReadReady(read.token()));
       }
     }
   }
 
   /**
-   * Returns the next single change of voters that is due: a caught-up learner takes the place of a
-   * silent voter at its own address, an empty place, or that of a voter that is long silent.
+   * Returns the next change of voters that is due, of one voter at a time. If a learner has caught
+   * up, this removes an unreachable voter at the learner's address, adds the learner if voters are
+   * missing, or removes the voter that has been silent for longest.
    */
   Optional<ReplicaSet> dueVoterChange(int voterCount, long nowMs) {
-    boolean settled =
+    boolean mayChangeVoters =
         replica.commitIndex() >= log.votersIndex() && replica.commitIndex() >= termStartIndex;
-    if (!settled) {
+    if (!mayChangeVoters) {
       return Optional.empty();
     }
     for (Progress learner : learners.values()) {
-      boolean caughtUp = learner.matchIndex + CAUGHT_UP_ENTRIES >= log.lastIndex();
-      boolean inContact = nowMs - learner.lastAckMs < timing.electionTimeoutMs();
+      boolean caughtUp = learner.matchIndex + MAX_LEARNER_LAG_ENTRIES >= log.lastIndex();
+      boolean inContact = nowMs - learner.lastAckAtMs < timing.electionTimeoutMs();
       if (learner.matchIndex == 0 || !caughtUp || !inContact) {
         continue;
       }
-      Optional<ReplicaSet> change = changeFor(learner, voterCount, nowMs);
+      Optional<ReplicaSet> change = voterChangeFor(learner, voterCount, nowMs);
       if (change.isPresent()) {
         return change;
       }
@@ -285,39 +293,45 @@
     return Optional.empty();
   }
 
-  private Optional<ReplicaSet> changeFor(Progress learner, int voterCount, long nowMs) {
-    List<ReplicaInfo> next = new ArrayList<>(log.voters().voters());
-    Optional<Progress> sameAddress =
+  private Optional<ReplicaSet> voterChangeFor(Progress learner, int voterCount, long nowMs) {
+    List<ReplicaInfo> nextVoters = new ArrayList<>(log.voters().voters());
+    Optional<Progress> voterAtAddress =
         voters.values().stream().filter(p -> p.address.equals(learner.address)).findFirst();
-    if (sameAddress.isPresent()) {
-      Progress replaced = sameAddress.get();
-      if (nowMs - replaced.lastAckMs < timing.electionTimeoutMs()) {
+    if (voterAtAddress.isPresent()) {
+      Progress unreachable = voterAtAddress.get();
+      if (nowMs - unreachable.lastAckAtMs < timing.electionTimeoutMs()) {
         return Optional.empty();
       }
-      next.removeIf(voter -> voter.replicaId().equals(replaced.replicaId));
-      return Optional.of(new ReplicaSet(next));
+      nextVoters.removeIf(voter -> voter.replicaId().equals(unreachable.replicaId));
+      return Optional.of(new ReplicaSet(nextVoters));
     }
-    if (next.size() >= voterCount) {
-      return withoutSilent(next, nowMs);
+    if (nextVoters.size() >= voterCount) {
+      return removeSilentVoter(nextVoters, nowMs);
     }
-    next.add(new ReplicaInfo(learner.replicaId, learner.address));
-    return Optional.of(new ReplicaSet(next));
+    nextVoters.add(new ReplicaInfo(learner.replicaId, learner.address));
+    return Optional.of(new ReplicaSet(nextVoters));
   }
 
-  /** Makes a place for a learner by removing the voter that has been silent for longest. */
-  private Optional<ReplicaSet> withoutSilent(List<ReplicaInfo> next, long nowMs) {
-    Optional<Progress> silent =
+  /**
+   * Returns the voters without the one that has been silent for longest, to make room for a
+   * learner; empty if no voter has timed out.
+   */
+  private Optional<ReplicaSet> removeSilentVoter(List<ReplicaInfo> nextVoters, long nowMs) {
+    Optional<Progress> longestSilent =
         voters.values().stream()
-            .filter(p -> nowMs - p.lastAckMs >= REPLACE_AFTER_TIMEOUTS * timing.electionTimeoutMs())
-            .min(Comparator.comparingLong(p -> p.lastAckMs));
-    if (silent.isEmpty()) {
+            .filter(
+                p ->
+                    nowMs - p.lastAckAtMs
+                        >= VOTER_REPLACEMENT_TIMEOUTS * timing.electionTimeoutMs())
+            .min(Comparator.comparingLong(p -> p.lastAckAtMs));
+    if (longestSilent.isEmpty()) {
       return Optional.empty();
     }
-    next.removeIf(voter -> voter.replicaId().equals(silent.get().replicaId));
-    return Optional.of(new ReplicaSet(next));
+    nextVoters.removeIf(voter -> voter.replicaId().equals(longestSilent.get().replicaId));
+    return Optional.of(new ReplicaSet(nextVoters));
   }
 
-  /** Returns the learners' identities, for reports. */
+  /** Returns the ids and addresses of the learners, for reports. */
   List<ReplicaInfo> learners() {
     return learners.values().stream().map(p -> new ReplicaInfo(p.replicaId, p.address)).toList();
   }
--- a/core/src/main/java/io/hingehoist/replication/LogSnapshot.java
+++ b/core/src/main/java/io/hingehoist/replication/LogSnapshot.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * The applied state up to a log index, which stands for the log before it.
+ * The applied state up to a log index, which replaces the log up to that index.
  *
  * @param lastIndex the index of the last entry that the state includes
  * @param lastTerm the term of that entry
@@ -14,7 +14,7 @@
  */
 public record LogSnapshot(long lastIndex, long lastTerm, ReplicaSet voters, Bytes state) {
 
-  /** Returns the snapshot of a log that holds nothing. */
+  /** Returns the snapshot of an empty log. */
   public static LogSnapshot empty() {
     return new LogSnapshot(0, 0, new ReplicaSet(List.of()), Bytes.empty());
   }
--- a/core/src/main/java/io/hingehoist/replication/Progress.java
+++ b/core/src/main/java/io/hingehoist/replication/Progress.java
@@ -1,13 +1,16 @@
 package io.hingehoist.replication;
 
-/** What the leader knows of one other replica. Owned by {@link Leadership}. */
+/**
+ * The leader's replication progress for one other replica. Not thread-safe: confined to the control
+ * thread.
+ */
 final class Progress {
   final String replicaId;
   final String address;
   long nextIndex;
   long matchIndex;
   long ackedRound;
-  long lastAckMs;
+  long lastAckAtMs;
   long sentAtMs;
   long snapshotOffset = -1;
   long snapshotSentAtMs;
@@ -16,21 +19,24 @@
     this.replicaId = replicaId;
     this.address = address;
     this.nextIndex = nextIndex;
-    this.lastAckMs = nowMs;
+    this.lastAckAtMs = nowMs;
   }
 
   boolean isReceivingSnapshot() {
     return snapshotOffset >= 0;
   }
 
-  void succeed(long index) {
+  void onAppendAccepted(long index) {
     matchIndex = Math.max(matchIndex, index);
     nextIndex = Math.max(nextIndex, matchIndex + 1);
     snapshotOffset = -1;
   }
 
-  /** Goes back to where the logs may still agree. */
-  void fail(long hintIndex) {
+  /**
+   * Moves {@code nextIndex} back to the entry after the hinted index, up to which the logs may
+   * still match.
+   */
+  void onAppendRejected(long hintIndex) {
     nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex, hintIndex + 1));
   }
 }
--- a/core/src/main/java/io/hingehoist/replication/Replica.java
+++ b/core/src/main/java/io/hingehoist/replication/Replica.java
@@ -24,17 +24,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One replica of the log.
+ * A replica of the log, which consumes events and returns effects.
  *
- * <p>Call {@link #step} for each event and {@link #flush} after each batch of events, and carry out
- * the effects in order. Times are milliseconds of a clock that never goes back. Not thread-safe:
- * the control thread owns it.
+ * <p>Call {@link #step} for each event and {@link #flush} after each batch of events, and execute
+ * the returned effects in order. Times are milliseconds of a monotonic clock. Not thread-safe:
+ * confined to the control thread.
  */
 public final class Replica {
-  /** Entries kept after a snapshot, so that a replica a little behind needs no snapshot. */
-  private static final long KEPT_ENTRIES = 1_000;
+  /**
+   * The number of entries retained after a snapshot, so that a replica that is slightly behind
+   * needs no snapshot.
+   */
+  private static final long RETAINED_ENTRIES = 1_000;
 
-  private static final long FIRST_ELECTION_DIVISOR = 4;
+  private static final long INITIAL_TIMEOUT_DIVISOR = 4;
 
   private final String id;
   private final String address;
@@ -52,9 +55,9 @@
   private long durableIndex;
   private ReplicaRole role = ReplicaRole.FOLLOWER;
   private String leaderAddress = "";
-  private long lastLeaderContactMs;
-  private boolean heardLeader;
-  private long electionDeadlineMs;
+  private long lastLeaderContactAtMs;
+  private boolean leaderSeen;
+  private long electionDeadlineAtMs;
   private Optional<Leadership> leadership = Optional.empty();
   private final Set<String> grantedVotes = new HashSet<>();
   private boolean preVoting;
@@ -69,7 +72,7 @@
       int voterCount,
       ReplicaTiming timing,
       RandomGenerator random,
-      DurableState durable,
+      DurableState durableState,
       long nowMs) {
     this.id = id;
     this.address = address;
@@ -78,23 +81,23 @@
     this.voterCount = voterCount;
     this.timing = timing;
     this.random = random;
-    this.term = durable.term();
-    this.votedFor = durable.votedFor();
-    this.log = new ReplicatedLog(durable.snapshot(), durable.entries());
-    this.commitIndex = durable.snapshot().lastIndex();
+    this.term = durableState.term();
+    this.votedFor = durableState.votedFor();
+    this.log = new ReplicatedLog(durableState.snapshot(), durableState.entries());
+    this.commitIndex = durableState.snapshot().lastIndex();
     this.durableIndex = log.lastIndex();
-    this.lastLeaderContactMs = nowMs - timing.electionTimeoutMs();
+    this.lastLeaderContactAtMs = nowMs - timing.electionTimeoutMs();
     resetElectionTimer(nowMs);
   }
 
   /**
-   * Creates a replica from what its disk holds.
+   * Creates a replica from the state recovered from its disk.
    *
-   * @param id the identity that stands on its disk
-   * @param address where other replicas reach it
+   * @param id the identity stored on its disk
+   * @param address the address at which other replicas reach it
    * @param clusterId the cluster that its disk belongs to; empty for a blank disk
-   * @param knownAddresses the addresses of other replicas, or of all
-   * @param voterCount the number of voters that there should be
+   * @param knownAddresses the addresses of some or all replicas, with or without its own
+   * @param voterCount the intended number of voters
    */
   public static Replica create(
       String id,
@@ -104,13 +107,13 @@
       int voterCount,
       ReplicaTiming timing,
       RandomGenerator random,
-      DurableState durable,
+      DurableState durableState,
       long nowMs) {
     if (id.isEmpty()) {
-      throw new IllegalArgumentException("a replica needs an identity");
+      throw new IllegalArgumentException("id must not be empty");
     }
     return new Replica(
-        id, address, clusterId, knownAddresses, voterCount, timing, random, durable, nowMs);
+        id, address, clusterId, knownAddresses, voterCount, timing, random, durableState, nowMs);
   }
 
   /** Returns the first entry of a new cluster: a configuration with one voter. */
@@ -120,12 +123,12 @@
     return new LogEntry(1, 1, EntryKind.CONFIGURATION, stampedAtMs, body);
   }
 
-  /** Takes note of where replicas are, so that this one can ask to join. */
+  /** Replaces the addresses of other replicas to which this one sends its join requests. */
   public void updateKnownAddresses(List<String> addresses) {
     knownAddresses = List.copyOf(addresses);
   }
 
-  /** Takes one event in and returns what is to be done. */
+  /** Processes one event and returns the effects to execute. */
   public List<ReplicaEffect> step(ReplicaEvent event, long nowMs) {
     switch (event) {
       case ReplicaEvent.Tick tick -> onTick(nowMs);
@@ -133,22 +136,22 @@
       case ReplicaEvent.Proposed proposed -> onProposed(proposed);
       case ReplicaEvent.ReadRequested read -> onReadRequested(read);
       case ReplicaEvent.Persisted persisted -> onPersisted(persisted.index());
-      case ReplicaEvent.SnapshotSaved saved -> log.compact(saved.snapshot(), KEPT_ENTRIES);
+      case ReplicaEvent.SnapshotSaved saved -> log.compact(saved.snapshot(), RETAINED_ENTRIES);
     }
-    return takeEffects();
+    return drainEffects();
   }
 
-  /** Sends what a batch of events has made due. */
+  /** Returns the messages, commits and reads that have become due with a batch of events. */
   public List<ReplicaEffect> flush(long nowMs) {
     leadership.ifPresent(l -> l.flush(nowMs, effects::add));
     advanceCommit();
-    return takeEffects();
+    return drainEffects();
   }
 
-  private List<ReplicaEffect> takeEffects() {
-    List<ReplicaEffect> taken = List.copyOf(effects);
+  private List<ReplicaEffect> drainEffects() {
+    List<ReplicaEffect> drained = List.copyOf(effects);
     effects.clear();
-    return taken;
+    return drained;
   }
 
   // Timers and elections.
@@ -158,7 +161,7 @@
       tickAsLeader(leadership.get(), nowMs);
       return;
     }
-    if (nowMs < electionDeadlineMs) {
+    if (nowMs < electionDeadlineAtMs) {
       return;
     }
     if (isVoter()) {
@@ -166,7 +169,7 @@
     } else {
       resetElectionTimer(nowMs);
     }
-    askToJoin();
+    sendJoinRequests();
   }
 
   private void tickAsLeader(Leadership leading, long nowMs) {
@@ -183,11 +186,11 @@
             });
   }
 
-  private void askToJoin() {
+  private void sendJoinRequests() {
     JoinRequest request = new JoinRequest(id, address, clusterId);
-    for (String place : knownAddresses) {
-      if (!place.equals(address)) {
-        effects.add(new ReplicaEffect.Send(place, request));
+    for (String peerAddress : knownAddresses) {
+      if (!peerAddress.equals(address)) {
+        effects.add(new ReplicaEffect.Send(peerAddress, request));
       }
     }
   }
@@ -223,13 +226,13 @@
     if (preVoting) {
       campaign(false, nowMs);
     } else {
-      lead(nowMs);
+      becomeLeader(nowMs);
     }
   }
 
-  private void lead(long nowMs) {
+  private void becomeLeader(long nowMs) {
     grantedVotes.clear();
-    heardLeader = true;
+    leaderSeen = true;
     Leadership leading = new Leadership(this, timing, log.lastIndex() + 1, nowMs);
     leadership = Optional.of(leading);
     changeRole(ReplicaRole.LEADER, address);
@@ -252,10 +255,10 @@
   }
 
   private void changeRole(ReplicaRole newRole, String newLeaderAddress) {
-    boolean same = role == newRole && leaderAddress.equals(newLeaderAddress);
+    boolean unchanged = role == newRole && leaderAddress.equals(newLeaderAddress);
     role = newRole;
     leaderAddress = newLeaderAddress;
-    if (!same) {
+    if (!unchanged) {
       effects.add(new ReplicaEffect.RoleChanged(newRole, term, newLeaderAddress));
     }
   }
@@ -267,11 +270,11 @@
   }
 
   private void resetElectionTimer(long nowMs) {
-    // Before it has heard a leader, a replica that has just started need not wait for one to fall
-    // silent: where there is one, the others do not grant a pre-vote.
+    // A replica that has just started uses a shorter timeout until a leader has contacted it. This
+    // does not disrupt an existing leader, because the other replicas then do not grant a pre-vote.
     long timeoutMs = timing.electionTimeoutMs();
-    long waitMs = heardLeader ? timeoutMs : timeoutMs / FIRST_ELECTION_DIVISOR;
-    electionDeadlineMs = nowMs + waitMs + random.nextLong(waitMs);
+    long waitMs = leaderSeen ? timeoutMs : timeoutMs / INITIAL_TIMEOUT_DIVISOR;
+    electionDeadlineAtMs = nowMs + waitMs + random.nextLong(waitMs);
   }
 
   // Messages.
@@ -291,26 +294,29 @@
 
   private void onVoteRequest(VoteRequest request, long nowMs) {
     if (request.preVote()) {
-      answerVote(request, request.term(), wouldVote(request, nowMs));
+      sendVoteResponse(request, request.term(), wouldGrantPreVote(request, nowMs));
       return;
     }
     if (request.term() > term) {
       becomeFollower(request.term(), "", nowMs);
     }
-    boolean free = votedFor.isEmpty() || votedFor.equals(request.candidateId());
-    boolean granted = request.term() == term && free && isUpToDate(request);
+    boolean voteAvailable = votedFor.isEmpty() || votedFor.equals(request.candidateId());
+    boolean granted = request.term() == term && voteAvailable && isUpToDate(request);
     if (granted) {
       saveVote(term, request.candidateId());
       resetElectionTimer(nowMs);
     }
-    answerVote(request, term, granted);
+    sendVoteResponse(request, term, granted);
   }
 
-  /** A replica that hears its leader wants no election, whoever comes back from a long absence. */
-  private boolean wouldVote(VoteRequest request, long nowMs) {
-    boolean hearsLeader =
-        leadership.isPresent() || nowMs - lastLeaderContactMs < timing.electionTimeoutMs();
-    return request.term() > term && !hearsLeader && isUpToDate(request);
+  /**
+   * Returns whether this replica grants a pre-vote. It grants none while it is in contact with a
+   * leader, so that a replica that returns from a long partition cannot force an election.
+   */
+  private boolean wouldGrantPreVote(VoteRequest request, long nowMs) {
+    boolean leaderReachable =
+        leadership.isPresent() || nowMs - lastLeaderContactAtMs < timing.electionTimeoutMs();
+    return request.term() > term && !leaderReachable && isUpToDate(request);
   }
 
   private boolean isUpToDate(VoteRequest request) {
@@ -320,9 +326,9 @@
     return request.lastIndex() >= log.lastIndex();
   }
 
-  private void answerVote(VoteRequest request, long answerTerm, boolean granted) {
-    long shownTerm = granted ? answerTerm : term;
-    VoteResponse response = new VoteResponse(shownTerm, id, granted, request.preVote());
+  private void sendVoteResponse(VoteRequest request, long grantedTerm, boolean granted) {
+    long responseTerm = granted ? grantedTerm : term;
+    VoteResponse response = new VoteResponse(responseTerm, id, granted, request.preVote());
     effects.add(new ReplicaEffect.SendAfterSync(request.candidateAddress(), response));
   }
 
@@ -342,41 +348,42 @@
   }
 
   private void onAppendRequest(AppendRequest request, long nowMs) {
-    if (isForeign(request.clusterId())) {
+    if (isOtherCluster(request.clusterId())) {
       return;
     }
     if (request.term() < term) {
-      answerAppend(request.leaderAddress(), false, commitIndex, request.round());
+      sendAppendResponse(request.leaderAddress(), false, commitIndex, request.round());
       return;
     }
     if (!request.toReplicaId().equals(id)) {
-      askLeaderToJoin(request.leaderAddress(), nowMs);
+      sendJoinRequestTo(request.leaderAddress(), nowMs);
       return;
     }
     followLeader(request.term(), request.leaderAddress(), request.clusterId(), nowMs);
-    if (!agreesAt(request.prevIndex(), request.prevTerm())) {
+    if (!logMatchesAt(request.prevIndex(), request.prevTerm())) {
       long hint = Math.min(log.lastIndex(), Math.max(commitIndex, log.baseIndex()));
-      answerAppend(request.leaderAddress(), false, hint, request.round());
+      sendAppendResponse(request.leaderAddress(), false, hint, request.round());
       return;
     }
     appendFromLeader(request.entries());
     long matchIndex = request.prevIndex() + request.entries().size();
     commitUpTo(Math.min(request.commitIndex(), matchIndex));
-    answerAppend(request.leaderAddress(), true, matchIndex, request.round());
+    sendAppendResponse(request.leaderAddress(), true, matchIndex, request.round());
   }
 
   /**
-   * The leader means another disk at this address. This replica must not answer for it, but it
-   * hears that there is a leader, and makes itself known.
+   * Asks a leader to add this replica. The leader's request was meant for another disk at this
+   * address, and this replica must not answer on its behalf; the request does show that there is a
+   * leader.
    */
-  private void askLeaderToJoin(String leader, long nowMs) {
-    lastLeaderContactMs = nowMs;
-    heardLeader = true;
+  private void sendJoinRequestTo(String leader, long nowMs) {
+    lastLeaderContactAtMs = nowMs;
+    leaderSeen = true;
     resetElectionTimer(nowMs);
     effects.add(new ReplicaEffect.Send(leader, new JoinRequest(id, address, clusterId)));
   }
 
-  private boolean isForeign(String otherClusterId) {
+  private boolean isOtherCluster(String otherClusterId) {
     return !clusterId.isEmpty() && !clusterId.equals(otherClusterId);
   }
 
@@ -385,38 +392,38 @@
       clusterId = leaderCluster;
       effects.add(new ReplicaEffect.JoinCluster(leaderCluster));
     }
-    lastLeaderContactMs = nowMs;
-    heardLeader = true;
+    lastLeaderContactAtMs = nowMs;
+    leaderSeen = true;
     if (leaderTerm > term || role != ReplicaRole.FOLLOWER || !leaderAddress.equals(newLeader)) {
       becomeFollower(leaderTerm, newLeader, nowMs);
     }
     resetElectionTimer(nowMs);
   }
 
-  private boolean agreesAt(long prevIndex, long prevTerm) {
-    // Everything up to the base is committed, so any leader agrees with it.
+  private boolean logMatchesAt(long prevIndex, long prevTerm) {
+    // Every entry up to the base index is committed, so the log of any leader matches there.
     return prevIndex < log.baseIndex() || log.termAt(prevIndex) == prevTerm;
   }
 
   private void appendFromLeader(List<LogEntry> entries) {
-    List<LogEntry> fresh = new ArrayList<>();
+    List<LogEntry> newEntries = new ArrayList<>();
     for (LogEntry entry : entries) {
-      boolean held = entry.index() <= log.lastIndex() && fresh.isEmpty();
-      if (entry.index() <= log.baseIndex() || (held && hasSame(entry))) {
+      boolean overlaps = entry.index() <= log.lastIndex() && newEntries.isEmpty();
+      if (entry.index() <= log.baseIndex() || (overlaps && hasSameTerm(entry))) {
         continue;
       }
-      if (held) {
+      if (overlaps) {
         truncateFrom(entry.index());
       }
-      fresh.add(entry);
+      newEntries.add(entry);
     }
-    if (!fresh.isEmpty()) {
-      log.append(fresh);
-      effects.add(ReplicaEffect.append(fresh));
+    if (!newEntries.isEmpty()) {
+      log.append(newEntries);
+      effects.add(ReplicaEffect.append(newEntries));
     }
   }
 
-  private boolean hasSame(LogEntry entry) {
+  private boolean hasSameTerm(LogEntry entry) {
     return log.termAt(entry.index()) == entry.term();
   }
 
@@ -429,7 +436,7 @@
     effects.add(new ReplicaEffect.Truncate(index));
   }
 
-  private void answerAppend(String to, boolean success, long matchIndex, long round) {
+  private void sendAppendResponse(String to, boolean success, long matchIndex, long round) {
     AppendResponse response = new AppendResponse(term, id, success, matchIndex, round);
     effects.add(new ReplicaEffect.SendAfterSync(to, response));
   }
@@ -446,13 +453,13 @@
   }
 
   private void onSnapshotChunk(SnapshotChunk chunk, long nowMs) {
-    boolean meant = chunk.toReplicaId().equals(id);
-    if (isForeign(chunk.clusterId()) || chunk.term() < term || !meant) {
+    boolean addressedToSelf = chunk.toReplicaId().equals(id);
+    if (isOtherCluster(chunk.clusterId()) || chunk.term() < term || !addressedToSelf) {
       return;
     }
     followLeader(chunk.term(), chunk.leaderAddress(), chunk.clusterId(), nowMs);
     if (chunk.lastIndex() <= commitIndex) {
-      answerAppend(chunk.leaderAddress(), true, commitIndex, 0);
+      sendAppendResponse(chunk.leaderAddress(), true, commitIndex, 0);
       return;
     }
     if (chunk.lastIndex() != incomingSnapshotIndex || chunk.offset() == 0) {
@@ -460,9 +467,9 @@
       incomingSnapshot.reset();
     }
     if (chunk.offset() == incomingSnapshot.size()) {
-      receive(chunk.data());
+      appendToIncomingSnapshot(chunk.data());
       if (chunk.last()) {
-        install(chunk);
+        installSnapshot(chunk);
         return;
       }
     }
@@ -470,15 +477,15 @@
     effects.add(new ReplicaEffect.Send(chunk.leaderAddress(), ack));
   }
 
-  private void receive(Bytes piece) {
+  private void appendToIncomingSnapshot(Bytes chunkData) {
     try {
-      piece.writeTo(incomingSnapshot);
+      chunkData.writeTo(incomingSnapshot);
     } catch (IOException e) {
       throw new UncheckedIOException("writing to memory cannot fail", e);
     }
   }
 
-  private void install(SnapshotChunk chunk) {
+  private void installSnapshot(SnapshotChunk chunk) {
     Bytes state = Bytes.copyOf(incomingSnapshot.toByteArray());
     incomingSnapshot.reset();
     incomingSnapshotIndex = 0;
@@ -488,7 +495,7 @@
     commitIndex = snapshot.lastIndex();
     durableIndex = snapshot.lastIndex();
     effects.add(new ReplicaEffect.Install(snapshot));
-    answerAppend(chunk.leaderAddress(), true, commitIndex, 0);
+    sendAppendResponse(chunk.leaderAddress(), true, commitIndex, 0);
   }
 
   private void onSnapshotAck(SnapshotAck ack, long nowMs) {
@@ -498,8 +505,8 @@
   }
 
   private void onJoinRequest(JoinRequest request, long nowMs) {
-    boolean foreign = !request.clusterId().isEmpty() && isForeign(request.clusterId());
-    if (!foreign) {
+    boolean otherCluster = !request.clusterId().isEmpty() && isOtherCluster(request.clusterId());
+    if (!otherCluster) {
       leadership.ifPresent(leading -> leading.onJoinRequest(request, nowMs));
     }
   }
@@ -535,7 +542,10 @@
     advanceCommit();
   }
 
-  /** Commits what a quorum has synced, if it is of this term (Raft, figure 8). */
+  /**
+   * Commits the entries that a quorum has synced to disk, if the last of them is of the current
+   * term (Raft, figure 8).
+   */
   private void advanceCommit() {
     if (leadership.isEmpty()) {
       return;
@@ -545,23 +555,23 @@
     if (quorumIndex > commitIndex && log.termAt(quorumIndex) == term) {
       commitUpTo(quorumIndex);
     }
-    leading.releaseReads(effects::add);
+    leading.emitReadyReads(effects::add);
   }
 
   private void commitUpTo(long index) {
     while (commitIndex < index) {
       commitIndex++;
-      effects.add(new ReplicaEffect.Apply(log.at(commitIndex)));
+      effects.add(new ReplicaEffect.Apply(log.entryAt(commitIndex)));
     }
   }
 
-  // What others may see.
+  // Accessors.
 
   ReplicatedLog log() {
     return log;
   }
 
-  /** Returns the identity that stands on this replica's disk. */
+  /** Returns the identity stored on this replica's disk. */
   public String id() {
     return id;
   }
@@ -570,7 +580,7 @@
     return address;
   }
 
-  /** Returns the cluster; empty while the replica is blank. */
+  /** Returns the id of the cluster; empty while the replica is blank. */
   public String clusterId() {
     return clusterId;
   }
@@ -580,12 +590,12 @@
     return term;
   }
 
-  /** Returns the replica that got this one's vote in the current term; empty for none. */
+  /** Returns the replica that this one voted for in the current term; empty for none. */
   public String votedFor() {
     return votedFor;
   }
 
-  /** Returns the entries after an index that the log holds. */
+  /** Returns the entries after an index, which must be at or after the base of the log. */
   public List<LogEntry> entriesAfter(long index) {
     return log.slice(index + 1, Long.MAX_VALUE);
   }
@@ -600,7 +610,7 @@
     return log.lastIndex();
   }
 
-  /** Returns the term of an entry that the log holds. */
+  /** Returns the term of an entry; -1 if the log does not hold it. */
   public long termAt(long index) {
     return log.termAt(index);
   }
@@ -624,17 +634,19 @@
     return leaderAddress;
   }
 
-  /** Returns whether this replica is among the voters that it knows of. */
+  /** Returns whether this replica is a voter in the latest configuration that it knows. */
   public boolean isVoter() {
     return log.voters().voters().stream().anyMatch(voter -> voter.replicaId().equals(id));
   }
 
-  /** Returns the voters that this replica knows of. */
+  /** Returns the voters of the latest configuration that this replica knows. */
   public List<ReplicaInfo> voters() {
     return log.voters().voters();
   }
 
-  /** Returns the replicas that catch up without a vote; empty unless this replica leads. */
+  /**
+   * Returns the learners, which receive the log but have no vote; empty unless this replica leads.
+   */
   public List<ReplicaInfo> learners() {
     return leadership.map(Leadership::learners).orElse(List.of());
   }
--- a/core/src/main/java/io/hingehoist/replication/ReplicaEffect.java
+++ b/core/src/main/java/io/hingehoist/replication/ReplicaEffect.java
@@ -4,43 +4,49 @@
 import io.hingehoist.message.Message;
 import java.util.List;
 
-/** Something that a {@link Replica} asks its surroundings to do, in order. */
+/** An action that a {@link Replica} requests from its caller, who executes the actions in order. */
 public sealed interface ReplicaEffect {
 
-  /** Sends a message that says nothing about this replica's disk. */
+  /**
+   * Sends a message at once; used for messages that do not depend on what this replica has written
+   * to its disk.
+   */
   record Send(String address, Message message) implements ReplicaEffect {}
 
-  /** Sends a message once everything before it is synced. */
+  /** Sends a message once all writes requested before it are synced to disk. */
   record SendAfterSync(String address, Message message) implements ReplicaEffect {}
 
-  /** Records the term and the vote given in it. */
+  /** Persists the current term and the vote cast in it. */
   record SaveVote(long term, String votedFor) implements ReplicaEffect {}
 
   /** Appends entries to the journal. */
   record Append(List<LogEntry> entries) implements ReplicaEffect {}
 
-  /** Removes the entries from an index on. */
+  /** Removes the journal's entries from an index onwards. */
   record Truncate(long fromIndex) implements ReplicaEffect {}
 
-  /** Replaces journal and applied state by a snapshot. */
+  /** Replaces the journal and the applied state with a snapshot. */
   record Install(LogSnapshot snapshot) implements ReplicaEffect {}
 
-  /** Binds a blank replica to a cluster. */
+  /** Persists the id of the cluster that a blank replica has joined. */
   record JoinCluster(String clusterId) implements ReplicaEffect {}
 
   /** Applies a committed entry. */
   record Apply(LogEntry entry) implements ReplicaEffect {}
 
-  /** Says at which index a proposed command stands. */
+  /** Reports the log index at which a proposed command was appended. */
   record Accepted(long token, long index) implements ReplicaEffect {}
 
-  /** Says that a proposal was not appended, or a read can't be served, by this replica. */
+  /** Reports that this replica did not append a proposal, or cannot serve a read. */
   record Rejected(long token) implements ReplicaEffect {}
 
-  /** Says that the applied state may be read for a request. */
+  /** Reports that the applied state may be read for a request. */
   record ReadReady(long token) implements ReplicaEffect {}
 
-  /** Says that role, term or leader changed. A replica that stops leading forgets its proposals. */
+  /**
+   * Reports a change of role, term or leader. The caller of a replica that stops leading discards
+   * its pending proposals.
+   */
   record RoleChanged(ReplicaRole role, long term, String leaderAddress) implements ReplicaEffect {}
 
   /** Returns the entries of an append effect as an immutable list. */
--- a/core/src/main/java/io/hingehoist/replication/ReplicaEvent.java
+++ b/core/src/main/java/io/hingehoist/replication/ReplicaEvent.java
@@ -3,19 +3,22 @@
 import io.hingehoist.message.Bytes;
 import io.hingehoist.message.Message;
 
-/** Something that happens to a {@link Replica}. */
+/** An input event of a {@link Replica}. */
 public sealed interface ReplicaEvent {
 
   /** Time has passed. */
   record Tick() implements ReplicaEvent {}
 
-  /** A message came from another replica. */
+  /** A message from another replica has arrived. */
   record Received(Message message) implements ReplicaEvent {}
 
-  /** A client proposes a command; the wall clock stamps it. */
+  /** A client proposes a command, stamped with the wall clock. */
   record Proposed(long token, Bytes command, long stampedAtMs) implements ReplicaEvent {}
 
-  /** A client wants to read a state that holds everything committed before now. */
+  /**
+   * A client requests a linearizable read, of a state that includes every entry committed before
+   * the request.
+   */
   record ReadRequested(long token) implements ReplicaEvent {}
 
   /** Every entry up to an index is synced to disk. */
--- a/core/src/main/java/io/hingehoist/replication/ReplicaRole.java
+++ b/core/src/main/java/io/hingehoist/replication/ReplicaRole.java
@@ -1,6 +1,6 @@
 package io.hingehoist.replication;
 
-/** What a replica does in its current term. */
+/** The role of a replica in its current term. */
 public enum ReplicaRole {
   FOLLOWER,
   CANDIDATE,
--- a/core/src/main/java/io/hingehoist/replication/ReplicaTiming.java
+++ b/core/src/main/java/io/hingehoist/replication/ReplicaTiming.java
@@ -1,10 +1,11 @@
 package io.hingehoist.replication;
 
 /**
- * The timers of a replica, in milliseconds.
+ * The timeouts of a replica, in milliseconds.
  *
- * @param electionTimeoutMs the silence of the leader after which an election may begin
- * @param heartbeatMs the time between heartbeats of the leader
+ * @param electionTimeoutMs the time without contact from the leader after which an election may
+ *     start
+ * @param heartbeatMs the interval between heartbeats of the leader
  */
 public record ReplicaTiming(long electionTimeoutMs, long heartbeatMs) {
 
@@ -19,7 +20,7 @@
     }
   }
 
-  /** Returns a timing. */
+  /** Returns the timing for an election timeout and a heartbeat interval. */
   public static ReplicaTiming of(long electionTimeoutMs, long heartbeatMs) {
     return new ReplicaTiming(electionTimeoutMs, heartbeatMs);
   }
--- a/core/src/main/java/io/hingehoist/replication/ReplicatedLog.java
+++ b/core/src/main/java/io/hingehoist/replication/ReplicatedLog.java
@@ -12,9 +12,12 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The entries after the latest snapshot, held in memory. Owned by its {@link Replica}. */
+/**
+ * The log in memory: the entries after the base index, which is at or before the latest snapshot.
+ * Not thread-safe: confined to the control thread.
+ */
 final class ReplicatedLog {
-  /** The term of an index that the log does not hold. */
+  /** The term returned for an index that the log does not hold. */
   static final long UNKNOWN_TERM = -1;
 
   private final List<LogEntry> entries = new ArrayList<>();
@@ -28,7 +31,7 @@
     append(entries);
   }
 
-  /** Forgets everything and starts from a snapshot. */
+  /** Discards all entries and restarts from a snapshot. */
   void reset(LogSnapshot newSnapshot) {
     snapshot = newSnapshot;
     baseIndex = newSnapshot.lastIndex();
@@ -61,14 +64,14 @@
     if (index < baseIndex || index > lastIndex()) {
       return UNKNOWN_TERM;
     }
-    return at(index).term();
+    return entryAt(index).term();
   }
 
-  LogEntry at(long index) {
+  LogEntry entryAt(long index) {
     return entries.get((int) (index - baseIndex - 1));
   }
 
-  /** Returns the voters as of the latest configuration, committed or not. */
+  /** Returns the voters of the latest configuration entry, committed or not. */
   ReplicaSet voters() {
     return voterSets.lastEntry().getValue();
   }
@@ -77,11 +80,11 @@
     return voterSets.lastKey();
   }
 
-  void append(List<LogEntry> added) {
-    for (LogEntry entry : added) {
+  void append(List<LogEntry> newEntries) {
+    for (LogEntry entry : newEntries) {
       if (entry.index() != lastIndex() + 1) {
         throw new IllegalStateException(
-            "entry " + entry.index() + " does not follow " + lastIndex());
+            "entry index " + entry.index() + " does not follow last index " + lastIndex());
       }
       entries.add(entry);
       if (entry.kind() == EntryKind.CONFIGURATION) {
@@ -95,32 +98,38 @@
     voterSets.tailMap(index, true).clear();
   }
 
-  /** Drops the entries up to an index, which a snapshot at or after it stands for. */
-  void compact(LogSnapshot newSnapshot, long keptEntries) {
+  /**
+   * Drops the entries that a new snapshot covers, except for a number of entries at the end of the
+   * log.
+   */
+  void compact(LogSnapshot newSnapshot, long retainedEntries) {
     snapshot = newSnapshot;
-    long newBase = Math.min(newSnapshot.lastIndex(), lastIndex() - keptEntries);
-    if (newBase <= baseIndex) {
+    long newBaseIndex = Math.min(newSnapshot.lastIndex(), lastIndex() - retainedEntries);
+    if (newBaseIndex <= baseIndex) {
       return;
     }
-    long newTerm = termAt(newBase);
-    Map.Entry<Long, ReplicaSet> votersAtBase = voterSets.floorEntry(newBase);
-    entries.subList(0, (int) (newBase - baseIndex)).clear();
-    voterSets.headMap(newBase, false).clear();
-    voterSets.putIfAbsent(newBase, votersAtBase.getValue());
-    baseIndex = newBase;
-    baseTerm = newTerm;
+    long newBaseTerm = termAt(newBaseIndex);
+    Map.Entry<Long, ReplicaSet> votersAtBase = voterSets.floorEntry(newBaseIndex);
+    entries.subList(0, (int) (newBaseIndex - baseIndex)).clear();
+    voterSets.headMap(newBaseIndex, false).clear();
+    voterSets.putIfAbsent(newBaseIndex, votersAtBase.getValue());
+    baseIndex = newBaseIndex;
+    baseTerm = newBaseTerm;
   }
 
   ReplicaSet votersAt(long index) {
     return voterSets.floorEntry(index).getValue();
   }
 
-  /** Returns entries from an index on, up to about a number of bytes and at least one. */
+  /**
+   * Returns the entries from an index onwards, at least one if the log holds any, until their
+   * bodies reach a total size.
+   */
   List<LogEntry> slice(long fromIndex, long maxBytes) {
     List<LogEntry> slice = new ArrayList<>();
     long bytes = 0;
     for (long index = fromIndex; index <= lastIndex() && bytes < maxBytes; index++) {
-      LogEntry entry = at(index);
+      LogEntry entry = entryAt(index);
       slice.add(entry);
       bytes += entry.body().size();
     }
@@ -136,7 +145,7 @@
       unpacker.unpackInt();
       return ReplicaSet.decode(unpacker);
     } catch (IOException e) {
-      throw new IllegalStateException("a configuration entry does not hold voters", e);
+      throw new IllegalStateException("cannot decode the voters of a configuration entry", e);
     }
   }
 }
--- a/core/src/main/java/io/hingehoist/settings/FieldSpecs.java
+++ b/core/src/main/java/io/hingehoist/settings/FieldSpecs.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Static helpers that check values against a {@link FieldSpec}. */
+/** Static methods that validate values against a {@link FieldSpec}. */
 public final class FieldSpecs {
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
   private static final Pattern IP_PORT =
@@ -16,22 +16,25 @@
 
   private FieldSpecs() {}
 
-  /** Returns the description of a field by its name. */
+  /** Returns the spec of a field by its name. */
   public static Optional<FieldSpec> find(List<FieldSpec> specs, String name) {
     return specs.stream().filter(spec -> spec.name().equals(name)).findFirst();
   }
 
-  /** Returns whether a text is a name as settings and submissions use them. */
+  /** Returns whether a text is a valid name in settings and submissions. */
   public static boolean isName(String text) {
     return NAME.matcher(text).matches();
   }
 
-  /** Returns the rule for names in words. */
+  /** Returns a description of valid names, for error messages. */
   public static String describeNameRange() {
     return NAME_RANGE;
   }
 
-  /** Returns what is wrong with a value, with the field, the value and the allowed range. */
+  /**
+   * Returns an error message that states the field, the value and the allowed range; empty if the
+   * value is valid.
+   */
   public static Optional<String> validate(FieldSpec spec, String value) {
     boolean allowed =
         switch (spec.type()) {
@@ -48,12 +51,12 @@
             .formatted(spec.name(), value, describeRange(spec)));
   }
 
-  /** Returns the allowed range in words. */
+  /** Returns a description of the allowed range, for error messages. */
   public static String describeRange(FieldSpec spec) {
     return switch (spec.range()) {
       case "name" -> NAME_RANGE;
-      case "ip:port" -> "an IP number and a port from 1 to 65535, such as 127.0.0.1:7100";
-      case "http url" -> "an http URL with an IP number and a port";
+      case "ip:port" -> "an IP address and a port from 1 to 65535, such as 127.0.0.1:7100";
+      case "http url" -> "an http URL with an IP address and a port";
       case "path" -> "a path of a folder";
       default -> spec.range();
     };
@@ -78,17 +81,17 @@
     };
   }
 
-  /** Returns whether a text is an IP number and a port. */
+  /** Returns whether a text is an IP address and a port. */
   public static boolean isAddress(String value) {
     var matcher = IP_PORT.matcher(value);
     if (!matcher.matches()) {
       return false;
     }
     int port = Integer.parseInt(matcher.group(2));
-    return port >= 1 && port <= 65_535 && isIpNumber(matcher.group(1));
+    return port >= 1 && port <= 65_535 && isIpAddress(matcher.group(1));
   }
 
-  private static boolean isIpNumber(String ip) {
+  private static boolean isIpAddress(String ip) {
     if (ip.startsWith("[")) {
       return true;
     }
--- a/core/src/main/java/io/hingehoist/settings/SettingsPath.java
+++ b/core/src/main/java/io/hingehoist/settings/SettingsPath.java
@@ -4,9 +4,10 @@
 import java.util.Optional;
 
 /**
- * A node of the settings tree: the root, a service, a job class of it, or a place of that.
+ * A node of the settings tree: the root, a service, a job class of a service, or an availability
+ * zone of a job class.
  *
- * @param segments the names from the root on; empty for the root
+ * @param segments the names on the path from the root to the node; empty for the root
  */
 public record SettingsPath(List<String> segments) {
   private static final int MAX_DEPTH = 3;
@@ -22,12 +23,15 @@
     return ROOT;
   }
 
-  /** Returns the node of a job class of a service at a place. */
-  public static SettingsPath of(String service, String jobClass, String place) {
-    return new SettingsPath(List.of(service, jobClass, place));
+  /** Returns the node of a job class of a service in an availability zone. */
+  public static SettingsPath of(String service, String jobClass, String zone) {
+    return new SettingsPath(List.of(service, jobClass, zone));
   }
 
-  /** Returns the node that a text such as {@code /porting/activation} names; empty if none. */
+  /**
+   * Returns the node at a path such as {@code /porting/activation}; empty if the text is not a
+   * valid path.
+   */
   public static Optional<SettingsPath> parse(String text) {
     if (text.equals("/")) {
       return Optional.of(ROOT);
@@ -48,7 +52,7 @@
     return Optional.of(new SettingsPath(segments.subList(0, segments.size() - 1)));
   }
 
-  /** Returns the form that {@link #parse} reads. */
+  /** Returns the path in the form that {@link #parse} accepts. */
   @Override
   public String toString() {
     return "/" + String.join("/", segments);
--- a/core/src/main/java/io/hingehoist/settings/SettingsTree.java
+++ b/core/src/main/java/io/hingehoist/settings/SettingsTree.java
@@ -11,7 +11,7 @@
 /**
  * The overridden values of the settings tree at one revision. Immutable and thread-safe.
  *
- * <p>A lookup costs one map access a level, four at most.
+ * <p>A lookup costs one map access per level, at most four.
  */
 public final class SettingsTree {
   private static final SettingsTree EMPTY = new SettingsTree(0, new TreeMap<>());
@@ -24,7 +24,10 @@
     this.overrides = overrides;
   }
 
-  /** A value in force, and the node that it comes from; {@code default} where none overrides it. */
+  /**
+   * The effective value of a setting and its source: the path of the node that overrides it, or
+   * {@code default} if no node does.
+   */
   public record EffectiveValue(String key, String value, String source) {}
 
   /** Returns the tree without any override, at revision 0. */
@@ -37,7 +40,7 @@
     return revision;
   }
 
-  /** Returns this tree with changes, at another revision. */
+  /** Returns a copy of this tree with changes applied, at another revision. */
   public SettingsTree with(long newRevision, List<SettingEntry> changes) {
     Map<String, Map<String, String>> copy = new TreeMap<>(overrides);
     for (SettingEntry change : changes) {
@@ -56,12 +59,12 @@
     return new SettingsTree(newRevision, copy);
   }
 
-  /** Returns the value that a node itself overrides. */
+  /** Returns the value that a node itself overrides; empty if the node inherits. */
   public Optional<String> override(SettingsPath path, String key) {
     return Optional.ofNullable(overrides.getOrDefault(path.toString(), Map.of()).get(key));
   }
 
-  /** Returns the value in force at a node. */
+  /** Returns the effective value of a setting at a node. */
   public EffectiveValue effective(SettingsPath path, FieldSpec spec) {
     Optional<SettingsPath> node = Optional.of(path);
     while (node.isPresent()) {
@@ -74,18 +77,18 @@
     return new EffectiveValue(spec.name(), spec.defaultValue(), "default");
   }
 
-  /** Returns every value in force at a node. */
+  /** Returns the effective value of every setting at a node. */
   public List<EffectiveValue> effective(SettingsPath path) {
     return ServicePolicy.SPECS.stream().map(spec -> effective(path, spec)).toList();
   }
 
-  /** Returns the policy in force at a node. */
+  /** Returns the effective policy at a node. */
   public ServicePolicy policyAt(SettingsPath path) {
     return ServicePolicy.from(
         key -> effective(path, FieldSpecs.find(ServicePolicy.SPECS, key).orElseThrow()).value());
   }
 
-  /** Returns every override, by path and key. */
+  /** Returns every override, ordered by path and key. */
   public List<SettingEntry> toEntries() {
     List<SettingEntry> entries = new ArrayList<>();
     overrides.forEach(
@@ -95,7 +98,7 @@
     return entries;
   }
 
-  /** Returns what is wrong with a change; empty if it may be accepted. */
+  /** Returns an error message for a change of a setting; empty if the change is valid. */
   public static Optional<String> validate(String path, String key, Optional<String> value) {
     if (SettingsPath.parse(path).isEmpty()) {
       return Optional.of(
--- a/core/src/test/java/io/hingehoist/control/ControlStateTest.java
+++ b/core/src/test/java/io/hingehoist/control/ControlStateTest.java
@@ -58,11 +58,11 @@
     return state.apply(new LogEntry(1, ++index, EntryKind.COMMAND, nowMs, command.toBytes()));
   }
 
-  private AdmitJob job(String id, String payload, String entry) {
-    return job(id, payload, entry, START_MS);
+  private AdmitJob admitJob(String id, String payload, String entry) {
+    return admitJob(id, payload, entry, START_MS);
   }
 
-  private static AdmitJob job(String id, String payload, String entry, long submittedAtMs) {
+  private static AdmitJob admitJob(String id, String payload, String entry, long submittedAtMs) {
     Bytes digest = Bytes.copyOf(payload.getBytes(java.nio.charset.StandardCharsets.UTF_8));
     return new AdmitJob(
         "caller",
@@ -78,7 +78,7 @@
         1);
   }
 
-  private static JobOutcome complete(String result) {
+  private static JobOutcome completeOutcome(String result) {
     return new JobOutcome(OutcomeStatus.COMPLETE, "", List.of(result));
   }
 
@@ -88,39 +88,41 @@
 
   @Test
   public void theSameSubmissionAtAnotherEntryAttachesToTheRunningJob() {
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
-    assertEquals(apply(job("s", "p", "entry-2")), new Attached(first.jobId(), "entry-1"));
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
+    assertEquals(apply(admitJob("s", "p", "entry-2")), new Attached(first.jobId(), "entry-1"));
   }
 
   @Test
   public void theSameSubmissionAfterTheEndGetsTheStoredAnswer() {
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
-    apply(new CompleteJob(first.jobId(), 1, complete("r")));
-    assertEquals(apply(job("s", "p", "entry-2")), new AlreadyEnded(first.jobId(), complete("r")));
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
+    apply(new CompleteJob(first.jobId(), 1, completeOutcome("r")));
+    assertEquals(
+        apply(admitJob("s", "p", "entry-2")),
+        new AlreadyEnded(first.jobId(), completeOutcome("r")));
   }
 
   @Test
   public void theSameIdWithAnotherPayloadIsRefused() {
-    apply(job("s", "p", "entry-1"));
-    assertEquals(reasonOf(apply(job("s", "other", "entry-1"))), RefusalReason.CONFLICT);
+    apply(admitJob("s", "p", "entry-1"));
+    assertEquals(reasonOf(apply(admitJob("s", "other", "entry-1"))), RefusalReason.CONFLICT);
   }
 
   @Test
-  public void aForgottenSubmissionIsRefusedNotRunAgain() {
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
-    apply(new CompleteJob(first.jobId(), 1, complete("r")));
+  public void aForgottenSubmissionIsRefusedAndNotRunAgain() {
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
+    apply(new CompleteJob(first.jobId(), 1, completeOutcome("r")));
     nowMs += 700_000;
     apply(new AdvanceClock(600_000));
     assertEquals(state.jobCount(), 0);
-    assertEquals(reasonOf(apply(job("s", "p", "entry-1"))), RefusalReason.TOO_OLD);
+    assertEquals(reasonOf(apply(admitJob("s", "p", "entry-1"))), RefusalReason.TOO_OLD);
   }
 
   @Test
-  public void aLongerRetentionLetsNoForgottenSubmissionInAgain() {
+  public void aLongerRetentionDoesNotReadmitAForgottenSubmission() {
     nowMs += 700_000;
     apply(new AdvanceClock(600_000));
     apply(new AdvanceClock(6_000_000));
-    assertEquals(reasonOf(apply(job("s", "p", "entry-1"))), RefusalReason.TOO_OLD);
+    assertEquals(reasonOf(apply(admitJob("s", "p", "entry-1"))), RefusalReason.TOO_OLD);
   }
 
   @Test
@@ -128,37 +130,40 @@
     nowMs += 700_000;
     apply(new AdvanceClock(600_000));
     nowMs = START_MS;
-    assertEquals(reasonOf(apply(job("s", "p", "entry-1"))), RefusalReason.TOO_OLD);
+    assertEquals(reasonOf(apply(admitJob("s", "p", "entry-1"))), RefusalReason.TOO_OLD);
   }
 
   @Test
   public void timesOutOfRangeAreRefused() {
     assertEquals(
-        reasonOf(apply(job("s", "p", "entry-1", START_MS + 100_000))), RefusalReason.IN_FUTURE);
+        reasonOf(apply(admitJob("s", "p", "entry-1", START_MS + 100_000))),
+        RefusalReason.IN_FUTURE);
     nowMs += 40_000;
-    assertEquals(reasonOf(apply(job("s", "p", "entry-1"))), RefusalReason.DEADLINE_PASSED);
+    assertEquals(reasonOf(apply(admitJob("s", "p", "entry-1"))), RefusalReason.DEADLINE_PASSED);
   }
 
   @Test
   public void anEndedEntryAdmitsNothing() {
     apply(new EndEntry("entry-1", 1, "test"));
-    assertEquals(reasonOf(apply(job("s", "p", "entry-1"))), RefusalReason.ENTRY_NOT_LIVE);
+    assertEquals(reasonOf(apply(admitJob("s", "p", "entry-1"))), RefusalReason.ENTRY_NOT_LIVE);
   }
 
   @Test
-  public void anEndedEntrysJobGoesToAnotherUnderAHigherEpoch() {
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
+  public void anEndedEntrysJobIsReassignedUnderAHigherEpoch() {
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
     apply(new EndEntry("entry-1", 1, "test"));
     assertEquals(
         state.jobsAdoptedBy("entry-2", 1, List.of()), List.of(new OwnedJob(first.jobId(), 2)));
-    assertEquals(apply(new CompleteJob(first.jobId(), 1, complete("old"))), new OutcomeStale(2));
-    assertEquals(apply(new CompleteJob(first.jobId(), 2, complete("new"))), new OutcomeCommitted());
-    assertEquals(state.job(first.jobId()).get().outcome(), Optional.of(complete("new")));
+    assertEquals(
+        apply(new CompleteJob(first.jobId(), 1, completeOutcome("old"))), new OutcomeStale(2));
+    assertEquals(
+        apply(new CompleteJob(first.jobId(), 2, completeOutcome("new"))), new OutcomeCommitted());
+    assertEquals(state.job(first.jobId()).get().outcome(), Optional.of(completeOutcome("new")));
   }
 
   @Test
-  public void aJobWithoutALiveEntryWaitsForTheNextOne() {
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
+  public void aJobWithoutALiveEntryIsAssignedToTheNextRegisteredEntry() {
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
     apply(new EndEntry("entry-2", 1, "test"));
     apply(new EndEntry("entry-1", 1, "test"));
     apply(new RegisterEntry("entry-3", 1, "", "z3"));
@@ -166,18 +171,18 @@
   }
 
   @Test
-  public void aRestartedEntrysJobsAreFencedFromItsOldSelf() {
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
+  public void aRestartedEntrysJobsAreFencedFromItsPreviousIncarnation() {
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
     apply(new RegisterEntry("entry-1", 2, "", "z1"));
     assertTrue(state.job(first.jobId()).get().epoch() > 1);
   }
 
   @Test
-  public void theFirstOutcomeStands() {
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
-    apply(new CompleteJob(first.jobId(), 1, complete("first")));
-    apply(new CompleteJob(first.jobId(), 1, complete("second")));
-    assertEquals(state.job(first.jobId()).get().outcome(), Optional.of(complete("first")));
+  public void aSecondOutcomeDoesNotReplaceTheFirst() {
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
+    apply(new CompleteJob(first.jobId(), 1, completeOutcome("first")));
+    apply(new CompleteJob(first.jobId(), 1, completeOutcome("second")));
+    assertEquals(state.job(first.jobId()).get().outcome(), Optional.of(completeOutcome("first")));
   }
 
   private static ChangeSettings change(String id, long base, String value) {
@@ -205,20 +210,20 @@
   }
 
   @Test
-  public void ofTwoChangesOnTheSameBaseOneIsRefused() {
+  public void theSecondOfTwoChangesOnTheSameBaseIsRefused() {
     apply(change("c1", 0, "1000"));
     assertEquals(refusalOf(apply(change("c2", 0, "2000"))), SettingsRefusalReason.STALE_BASE);
   }
 
   @Test
-  public void refusedChangesStandInTheAuditTrail() {
+  public void refusedChangesAreRecordedInTheAuditTrail() {
     apply(change("c1", 0, "1"));
     assertEquals(state.audit().getLast().accepted(), false);
     assertTrue(state.audit().getLast().reason().contains("10..600000"));
   }
 
   @Test
-  public void settingsCatchUpByDifferenceOrWhole() {
+  public void settingsUpdatesAreIncrementalOrAFullSnapshot() {
     for (int i = 0; i < 1_500; i++) {
       apply(change("c" + i, i, String.valueOf(1_000 + i)));
     }
@@ -227,50 +232,52 @@
     assertTrue(state.settingsSince(1_500).isEmpty());
   }
 
-  private RegisterAgent agent(long incarnation) {
+  private RegisterAgent registerAgent(long incarnation) {
     return new RegisterAgent("w1", incarnation, "127.0.0.1:1", "z1", "porting", 8, 64);
   }
 
   @Test
-  public void anAgentThatEndedMakesKnowledgeOfRunningJobsUncertain() {
-    apply(agent(1));
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
+  public void anAgentThatEndedIsReportedAsLostForRunningJobs() {
+    apply(registerAgent(1));
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
     apply(new ChangeAgentState("w1", 1, MemberState.GONE, "missedHeartbeats", "control"));
     assertEquals(state.agentsLostSince(state.job(first.jobId()).get()), List.of("w1"));
-    assertEquals(((MemberRefused) apply(agent(1))).currentIncarnation(), 1);
-    assertEquals(apply(agent(2)), new MemberAccepted());
+    assertEquals(((MemberRefused) apply(registerAgent(1))).currentIncarnation(), 1);
+    assertEquals(apply(registerAgent(2)), new MemberAccepted());
   }
 
   @Test
-  public void aPlannedStopLosesNoKnowledge() {
-    apply(agent(1));
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
+  public void anAgentAfterAPlannedStopIsNotReportedAsLost() {
+    apply(registerAgent(1));
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
     apply(new ChangeAgentState("w1", 1, MemberState.DRAINING, "plannedStop", "w1"));
     apply(new ChangeAgentState("w1", 1, MemberState.GONE, "plannedStop", "w1"));
     assertEquals(state.agentsLostSince(state.job(first.jobId()).get()), List.of());
   }
 
   @Test
-  public void anOperatorsDrainOutlivesARestartOfTheAgent() {
-    apply(agent(1));
+  public void anOperatorsDrainSurvivesARestartOfTheAgent() {
+    apply(registerAgent(1));
     apply(new ChangeAgentState("w1", 0, MemberState.DRAINING, "operator", "kim"));
-    apply(agent(2));
+    apply(registerAgent(2));
     assertEquals(state.agent("w1").get().info().state(), MemberState.DRAINING);
   }
 
   @Test
   public void aSnapshotHoldsTheWholeState() throws IOException {
-    apply(agent(1));
-    apply(agent(2));
+    apply(registerAgent(1));
+    apply(registerAgent(2));
     apply(change("c1", 0, "1000"));
-    Admitted first = (Admitted) apply(job("s", "p", "entry-1"));
-    apply(new CompleteJob(first.jobId(), 1, complete("r")));
-    apply(job("t", "q", "entry-2"));
+    Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
+    apply(new CompleteJob(first.jobId(), 1, completeOutcome("r")));
+    apply(admitJob("t", "q", "entry-2"));
     ControlState copy = ControlState.fromBytes(state.toBytes());
     assertEquals(copy.toBytes(), state.toBytes());
     assertEquals(copy.settings().revision(), 1);
     state = copy;
     assertEquals(apply(change("c1", 0, "1000")), new SettingsAccepted(1));
-    assertEquals(apply(job("s", "p", "entry-2")), new AlreadyEnded(first.jobId(), complete("r")));
+    assertEquals(
+        apply(admitJob("s", "p", "entry-2")),
+        new AlreadyEnded(first.jobId(), completeOutcome("r")));
   }
 }
--- a/core/src/test/java/io/hingehoist/control/DocumentTableTest.java
+++ b/core/src/test/java/io/hingehoist/control/DocumentTableTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.Test;
 
 public final class DocumentTableTest {
-  private static final Bytes ONE = Bytes.copyOf(new byte[] {1});
-  private static final Bytes TWO = Bytes.copyOf(new byte[] {2});
+  private static final Bytes FIRST_CONTENT = Bytes.copyOf(new byte[] {1});
+  private static final Bytes SECOND_CONTENT = Bytes.copyOf(new byte[] {2});
 
   private static CommandResult publish(ControlState state, long version, Bytes content) {
     Bytes command = new PublishDocument("d", version, content).toBytes();
@@ -22,34 +22,34 @@
   }
 
   @Test
-  public void theHighestVersionHolds() {
+  public void theHighestVersionIsKept() {
     ControlState state = ControlState.create();
-    assertEquals(publish(state, 5, ONE), new DocumentAccepted(5));
-    assertEquals(publish(state, 9, TWO), new DocumentAccepted(9));
-    assertEquals(state.document("d").orElseThrow().content(), TWO);
+    assertEquals(publish(state, 5, FIRST_CONTENT), new DocumentAccepted(5));
+    assertEquals(publish(state, 9, SECOND_CONTENT), new DocumentAccepted(9));
+    assertEquals(state.document("d").orElseThrow().content(), SECOND_CONTENT);
   }
 
   @Test
-  public void aVersionBelowTheHeldOneIsAcknowledgedAndChangesNothing() {
+  public void aLowerVersionIsAcknowledgedAndChangesNothing() {
     ControlState state = ControlState.create();
-    publish(state, 9, TWO);
-    assertEquals(publish(state, 5, ONE), new DocumentAccepted(9));
-    assertEquals(state.document("d").orElseThrow().content(), TWO);
+    publish(state, 9, SECOND_CONTENT);
+    assertEquals(publish(state, 5, FIRST_CONTENT), new DocumentAccepted(9));
+    assertEquals(state.document("d").orElseThrow().content(), SECOND_CONTENT);
   }
 
   @Test
-  public void theHeldVersionAgainIsAcknowledgedOnlyWithItsContent() {
+  public void theCurrentVersionIsAcknowledgedAgainOnlyWithTheSameContent() {
     ControlState state = ControlState.create();
-    publish(state, 9, TWO);
-    assertEquals(publish(state, 9, TWO), new DocumentAccepted(9));
-    assertEquals(publish(state, 9, ONE), new DocumentConflict(9));
-    assertEquals(state.document("d").orElseThrow().content(), TWO);
+    publish(state, 9, SECOND_CONTENT);
+    assertEquals(publish(state, 9, SECOND_CONTENT), new DocumentAccepted(9));
+    assertEquals(publish(state, 9, FIRST_CONTENT), new DocumentConflict(9));
+    assertEquals(state.document("d").orElseThrow().content(), SECOND_CONTENT);
   }
 
   @Test
-  public void documentsOutliveASnapshot() throws IOException {
+  public void documentsAreRestoredFromASnapshot() throws IOException {
     ControlState state = ControlState.create();
-    publish(state, 9, TWO);
+    publish(state, 9, SECOND_CONTENT);
     ControlState restored = ControlState.fromBytes(state.toBytes());
     assertEquals(restored.document("d"), state.document("d"));
   }
--- a/core/src/test/java/io/hingehoist/control/EvacuationTableTest.java
+++ b/core/src/test/java/io/hingehoist/control/EvacuationTableTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  public void anOrderThatIsSentAgainIsAcceptedAgainAndChangesNothing() {
+  public void aRepeatedCommandIsAcceptedAgainAndChangesNothing() {
     ControlState state = ControlState.create();
     assertEquals(evacuate(state, "z1"), new ZoneAccepted(1));
     assertEquals(evacuate(state, "z1"), new ZoneAccepted(1));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  public void eachZoneStandsByItself() {
+  public void zonesAreEvacuatedIndependently() {
     ControlState state = ControlState.create();
     evacuate(state, "z2");
     evacuate(state, "z1");
@@ -59,7 +59,7 @@
   }
 
   @Test
-  public void whatIsTooMuchIsRefusedAndChangesNothing() {
+  public void anEvacuationBeyondTheLimitIsRefusedAndChangesNothing() {
     ControlState state = ControlState.create();
     for (int i = 0; i < EvacuationTable.MAX_ZONES; i++) {
       evacuate(state, "z" + i);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  public void evacuationsOutliveASnapshotAlsoWhenNoneIsLeft() throws IOException {
+  public void evacuationsAreRestoredFromASnapshotAlsoWhenNoneIsLeft() throws IOException {
     ControlState state = ControlState.create();
     evacuate(state, "z1");
     assertEquals(
@@ -84,7 +84,7 @@
   }
 
   @Test
-  public void theAuditTrailNamesWhoChangedAZone() {
+  public void theAuditTrailRecordsWhoChangedAZone() {
     ControlState state = ControlState.create();
     evacuate(state, "z1");
     evacuate(state, "z1");
--- a/core/src/test/java/io/hingehoist/directory/PeerDirectoryTest.java
+++ b/core/src/test/java/io/hingehoist/directory/PeerDirectoryTest.java
@@ -14,7 +14,7 @@
   }
 
   @Test
-  public void passesOnOnlyWhatProcessesToldOfThemselves() {
+  public void recentlyAnnouncedHoldsOnlyDirectAnnouncements() {
     PeerDirectory directory = PeerDirectory.create(10_000);
     directory.recordAnnounced(peer("a:1", 1), 1_000);
     directory.recordRelayed(peer("b:1", 1), 1_000);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  public void forgetsWhatWasNotHeardOf() {
+  public void expiresProcessesNotHeardOf() {
     PeerDirectory directory = PeerDirectory.create(10_000);
     directory.recordAnnounced(peer("a:1", 1), 1_000);
     long version = directory.version();
--- a/core/src/test/java/io/hingehoist/replication/ReplicaGroup.java
+++ b/core/src/test/java/io/hingehoist/replication/ReplicaGroup.java
@@ -17,17 +17,20 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Replicas, their disks and the messages between them, with time and order played by a test. */
+/**
+ * A simulated group of replicas with their disks and network. The test controls time and the order
+ * of messages.
+ */
 final class ReplicaGroup {
   static final ReplicaTiming TIMING = ReplicaTiming.of(100, 20);
 
-  /** Beyond this, a message on its way is lost for each new one. */
-  private static final int MAX_UNDERWAY = 200;
+  /** The maximum number of messages in flight; each further message drops a random one. */
+  private static final int MAX_IN_FLIGHT = 200;
 
-  /** A message on its way. */
+  /** A message in flight. */
   record Envelope(String from, String to, Message message) {}
 
-  /** One box: a disk that survives, and a replica that may not. */
+  /** A box with a disk, which survives a crash, and a replica, which does not. */
   final class Box {
     final String address;
     String replicaId;
@@ -63,15 +66,15 @@
       appliedIndex = snapshot.lastIndex();
     }
 
-    /** Loses what is not synced. */
+    /** Ends the replica and discards its unsynced writes. */
     void crash() {
       replica = null;
       unsynced.clear();
       afterSync.clear();
     }
 
-    /** Loses the disk too; the box comes back under another identity. */
-    void wipe(String newReplicaId) {
+    /** Crashes the box and erases its disk; the box restarts under another identity. */
+    void wipeDisk(String newReplicaId) {
       crash();
       replicaId = newReplicaId;
       clusterId = "";
@@ -82,19 +85,19 @@
     }
 
     void step(ReplicaEvent event) {
-      carryOut(replica.step(event, nowMs));
-      carryOut(replica.flush(nowMs));
+      execute(replica.step(event, nowMs));
+      execute(replica.flush(nowMs));
     }
 
-    private void carryOut(List<ReplicaEffect> effects) {
+    private void execute(List<ReplicaEffect> effects) {
       for (ReplicaEffect effect : effects) {
-        carryOut(effect);
+        execute(effect);
       }
     }
 
-    private void carryOut(ReplicaEffect effect) {
+    private void execute(ReplicaEffect effect) {
       switch (effect) {
-        case ReplicaEffect.Send send -> post(this, send.address(), send.message());
+        case ReplicaEffect.Send send -> enqueue(this, send.address(), send.message());
         case ReplicaEffect.SendAfterSync send -> afterSync.add(send);
         case ReplicaEffect.SaveVote vote -> unsynced.add(vote);
         case ReplicaEffect.Append append -> unsynced.add(append);
@@ -106,10 +109,10 @@
           appliedIndex = snapshot.lastIndex();
         }
         case ReplicaEffect.JoinCluster join -> clusterId = join.clusterId();
-        case ReplicaEffect.Apply apply -> applied(this, apply.entry());
+        case ReplicaEffect.Apply apply -> recordApplied(this, apply.entry());
         case ReplicaEffect.Accepted accepted -> {}
         case ReplicaEffect.Rejected rejected -> {}
-        case ReplicaEffect.ReadReady ready -> readsReady.add(ready.token());
+        case ReplicaEffect.ReadReady ready -> readyReads.add(ready.token());
         case ReplicaEffect.RoleChanged changed -> {
           if (changed.role() == ReplicaRole.LEADER) {
             String before = leaders.putIfAbsent(changed.term(), replicaId);
@@ -119,7 +122,10 @@
       }
     }
 
-    /** Writes everything to the disk, and sends what waited for that. */
+    /**
+     * Writes all pending effects to the disk, then sends the messages that had to wait for the
+     * sync.
+     */
     void sync() {
       boolean wrote = !unsynced.isEmpty();
       for (ReplicaEffect effect : unsynced) {
@@ -132,13 +138,13 @@
               append.entries().forEach(e -> entries.put(e.index(), e));
           case ReplicaEffect.Truncate truncate ->
               entries.tailMap(truncate.fromIndex(), true).clear();
-          default -> throw new IllegalStateException("not for the disk: " + effect);
+          default -> throw new IllegalStateException("not a disk write: " + effect);
         }
       }
       unsynced.clear();
       List<ReplicaEffect.SendAfterSync> due = List.copyOf(afterSync);
       afterSync.clear();
-      due.forEach(send -> post(this, send.address(), send.message()));
+      due.forEach(send -> enqueue(this, send.address(), send.message()));
       if (wrote) {
         step(new ReplicaEvent.Persisted(replica.lastIndex()));
       }
@@ -163,16 +169,16 @@
   final Set<String> cutLinks = new HashSet<>();
   final Map<Long, LogEntry> committed = new HashMap<>();
   final Map<Long, String> leaders = new HashMap<>();
-  final Set<Long> readsReady = new TreeSet<>();
+  final Set<Long> readyReads = new TreeSet<>();
   long nowMs = 1_000;
 
   ReplicaGroup(long seed, int size) {
     random = new Random(seed);
-    List<String> places = new ArrayList<>();
+    List<String> boxAddresses = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      places.add("box-" + i);
+      boxAddresses.add("box-" + i);
     }
-    addresses = List.copyOf(places);
+    addresses = List.copyOf(boxAddresses);
     for (String address : addresses) {
       boxes.put(address, new Box(address, "id-" + address));
     }
@@ -183,14 +189,14 @@
     boxes.values().forEach(Box::start);
   }
 
-  private void post(Box from, String to, Message message) {
-    if (network.size() >= MAX_UNDERWAY) {
+  private void enqueue(Box from, String to, Message message) {
+    if (network.size() >= MAX_IN_FLIGHT) {
       network.remove(random.nextInt(network.size()));
     }
     network.add(new Envelope(from.address, to, message));
   }
 
-  private void applied(Box box, LogEntry entry) {
+  private void recordApplied(Box box, LogEntry entry) {
     assertEquals(entry.index(), box.appliedIndex + 1, "entries are applied in order");
     LogEntry first = committed.putIfAbsent(entry.index(), entry);
     assertEquals(entry, first == null ? entry : first, "a committed entry differs");
@@ -199,27 +205,30 @@
 
   void deliver(Envelope envelope) {
     Box to = boxes.get(envelope.to());
-    boolean cut = cutLinks.contains(envelope.from() + ">" + envelope.to());
-    if (!cut && to.replica != null) {
+    boolean linkIsCut = cutLinks.contains(envelope.from() + ">" + envelope.to());
+    if (!linkIsCut && to.replica != null) {
       to.step(new ReplicaEvent.Received(envelope.message()));
     }
   }
 
-  void cut(String from, String to) {
+  void cutLink(String from, String to) {
     cutLinks.add(from + ">" + to);
   }
 
-  /** Cuts a box off from all others, both ways. */
+  /** Cuts the links between a box and all others, in both directions. */
   void isolate(String address) {
     for (String other : addresses) {
-      cut(address, other);
-      cut(other, address);
+      cutLink(address, other);
+      cutLink(other, address);
     }
   }
 
-  /** Plays a number of milliseconds in order: ticks, syncs, and every message at once. */
-  void run(long millis) {
-    for (long end = nowMs + millis; nowMs < end; nowMs++) {
+  /**
+   * Simulates a number of milliseconds: in each, every replica gets a tick and a sync, and all
+   * messages are delivered in order.
+   */
+  void runFor(long durationMs) {
+    for (long end = nowMs + durationMs; nowMs < end; nowMs++) {
       for (Box box : boxes.values()) {
         if (box.replica != null) {
           box.step(new ReplicaEvent.Tick());
@@ -257,14 +266,17 @@
     return ids;
   }
 
-  /** Runs until all boxes vote, as after the founding of a cluster. */
-  void form() {
-    run(2_000);
+  /** Forms the cluster: runs until every box is a voter. */
+  void formCluster() {
+    runFor(2_000);
     assertEquals(voterIds().size(), addresses.size());
   }
 
-  /** Returns whether a box may lose its disk: all others run and nobody else was replaced. */
-  boolean maySpare(Box box) {
+  /**
+   * Returns whether a box may lose its disk: all replicas run as voters, and the configuration is
+   * complete.
+   */
+  boolean mayLoseDisk(Box box) {
     return boxes.values().stream().allMatch(b -> b.replica != null && b.replica.isVoter())
         && box.replica.voters().size() == addresses.size();
   }
--- a/core/src/test/java/io/hingehoist/replication/ReplicaTest.java
+++ b/core/src/test/java/io/hingehoist/replication/ReplicaTest.java
@@ -13,112 +13,113 @@
 
 public final class ReplicaTest {
 
-  private static ReplicaGroup formed() {
+  private static ReplicaGroup formedGroup() {
     ReplicaGroup group = new ReplicaGroup(7, 3);
-    group.form();
+    group.formCluster();
     return group;
   }
 
   @Test
   public void blankReplicasJoinTheFounderAndVote() {
-    assertEquals(formed().voterIds(), Set.of("id-box-0", "id-box-1", "id-box-2"));
+    assertEquals(formedGroup().voterIds(), Set.of("id-box-0", "id-box-1", "id-box-2"));
   }
 
   @Test
   public void anEntryIsCommittedOnceTwoReplicasHaveSyncedIt() {
-    ReplicaGroup group = formed();
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box leader = group.leader();
     group.addresses.stream().filter(a -> !a.equals(leader.address)).forEach(group::isolate);
     group.propose(leader, "alone");
-    group.run(50);
+    group.runFor(50);
     assertFalse(group.isCommitted("alone"));
   }
 
   @Test
-  public void aLeaderThatHearsNobodyStepsDownAndTheOthersElect() {
-    ReplicaGroup group = formed();
+  public void aLeaderWithoutQuorumContactStepsDownAndTheOthersElectAnother() {
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box old = group.leader();
     group.isolate(old.address);
-    group.run(1_000);
+    group.runFor(1_000);
     assertFalse(old.replica.isLeader());
     assertNotEquals(group.leader().address, old.address);
   }
 
   @Test
-  public void aLeaderThatCanSendButNotHearStepsDown() {
-    ReplicaGroup group = formed();
+  public void aLeaderThatCanSendButNotReceiveStepsDown() {
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box old = group.leader();
-    group.addresses.forEach(other -> group.cut(other, old.address));
-    group.run(1_000);
+    group.addresses.forEach(other -> group.cutLink(other, old.address));
+    group.runFor(1_000);
     assertFalse(old.replica.isLeader());
     group.propose(group.leader(), "after");
-    group.run(100);
+    group.runFor(100);
     assertTrue(group.isCommitted("after"));
   }
 
   @Test
-  public void aBoxCutOffForLongDisturbsNobodyOnItsReturn() {
-    ReplicaGroup group = formed();
+  public void aReplicaReturningFromALongPartitionDoesNotDisruptTheLeader() {
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box leader = group.leader();
-    String cut = group.addresses.stream().filter(a -> !a.equals(leader.address)).findFirst().get();
-    group.isolate(cut);
-    group.run(20_000);
+    String partitioned =
+        group.addresses.stream().filter(a -> !a.equals(leader.address)).findFirst().get();
+    group.isolate(partitioned);
+    group.runFor(20_000);
     long term = leader.replica.term();
     for (int i = 0; i < 300; i++) {
       group.propose(leader, "change-" + i);
-      group.run(2);
+      group.runFor(2);
     }
     leader.takeSnapshot();
     group.cutLinks.clear();
-    group.run(2_000);
+    group.runFor(2_000);
     assertEquals(leader.replica.term(), term);
     assertTrue(leader.replica.isLeader());
-    assertEquals(group.boxes.get(cut).appliedIndex, leader.appliedIndex);
+    assertEquals(group.boxes.get(partitioned).appliedIndex, leader.appliedIndex);
   }
 
   @Test
-  public void aBoxThatHearsAnotherButNotTheLeaderDisturbsNobody() {
-    ReplicaGroup group = formed();
+  public void aReplicaThatReachesOnlyAFollowerDoesNotDisruptTheLeader() {
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box leader = group.leader();
     String other =
         group.addresses.stream().filter(a -> !a.equals(leader.address)).findFirst().get();
-    group.cut(leader.address, other);
-    group.cut(other, leader.address);
+    group.cutLink(leader.address, other);
+    group.cutLink(other, leader.address);
     long term = leader.replica.term();
-    group.run(3_000);
+    group.runFor(3_000);
     assertTrue(leader.replica.isLeader());
     assertEquals(leader.replica.term(), term);
   }
 
   @Test
-  public void aReadWaitsForARoundThatAQuorumAnswers() {
-    ReplicaGroup group = formed();
+  public void aReadIsServedOnlyAfterAQuorumAnswersItsRound() {
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box leader = group.leader();
     leader.step(new ReplicaEvent.ReadRequested(41));
-    assertFalse(group.readsReady.contains(41L));
-    group.run(5);
-    assertTrue(group.readsReady.contains(41L));
+    assertFalse(group.readyReads.contains(41L));
+    group.runFor(5);
+    assertTrue(group.readyReads.contains(41L));
   }
 
   @Test
   public void aDeposedLeaderServesNoRead() {
-    ReplicaGroup group = formed();
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box old = group.leader();
     group.isolate(old.address);
     old.step(new ReplicaEvent.ReadRequested(42));
-    group.run(1_000);
-    assertFalse(group.readsReady.contains(42L));
+    group.runFor(1_000);
+    assertFalse(group.readyReads.contains(42L));
   }
 
   @Test
-  public void aLostDiskVotesUnderANewIdentityOnly() {
-    ReplicaGroup group = formed();
+  public void aReplicaWithALostDiskVotesOnlyUnderANewIdentity() {
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box lost =
         group.boxes.values().stream().filter(b -> !b.replica.isLeader()).findFirst().get();
     String oldId = lost.replicaId;
-    lost.wipe("id-new");
+    lost.wipeDisk("id-new");
     lost.start();
-    group.run(3_000);
+    group.runFor(3_000);
     assertTrue(group.voterIds().contains("id-new"));
     assertFalse(group.voterIds().contains(oldId));
     assertTrue(
@@ -127,18 +128,18 @@
   }
 
   @Test
-  public void aSecondBoxMayFailOnceTheReplacedOneVotes() {
-    ReplicaGroup group = formed();
+  public void aSecondReplicaMayFailOnceTheReplacementVotes() {
+    ReplicaGroup group = formedGroup();
     ReplicaGroup.Box leader = group.leader();
     List<ReplicaGroup.Box> others = group.boxes.values().stream().filter(b -> b != leader).toList();
     group.propose(leader, "before");
-    group.run(10);
-    others.get(0).wipe("id-new");
+    group.runFor(10);
+    others.get(0).wipeDisk("id-new");
     others.get(0).start();
-    group.run(3_000);
+    group.runFor(3_000);
     others.get(1).crash();
     group.propose(group.leader(), "after");
-    group.run(1_000);
+    group.runFor(1_000);
     assertTrue(group.isCommitted("before") && group.isCommitted("after"));
   }
 
@@ -151,34 +152,37 @@
     return seeds;
   }
 
-  /** Any order of delays, losses, crashes, lost disks and snapshots keeps every committed entry. */
+  /**
+   * Checks that every committed entry survives a random sequence of delays, message losses,
+   * crashes, lost disks and snapshots.
+   */
   @Test(dataProvider = "seeds")
-  public void committedEntriesStandWhateverHappens(long seed) {
+  public void committedEntriesSurviveRandomFaults(long seed) {
     ReplicaGroup group = new ReplicaGroup(seed, 3);
-    group.form();
+    group.formCluster();
     int proposed = 0;
     int wiped = 0;
     for (int i = 0; i < 6_000; i++) {
       List<ReplicaGroup.Box> boxes = List.copyOf(group.boxes.values());
       ReplicaGroup.Box box = boxes.get(group.random.nextInt(boxes.size()));
-      int dice = group.random.nextInt(1_000);
+      int roll = group.random.nextInt(1_000);
       if (box.replica == null) {
-        if (dice < 100) {
+        if (roll < 100) {
           box.start();
         }
-      } else if (dice < 250) {
+      } else if (roll < 250) {
         box.step(new ReplicaEvent.Tick());
-      } else if (dice < 450) {
+      } else if (roll < 450) {
         box.sync();
-      } else if (dice < 550) {
+      } else if (roll < 550) {
         group.propose(box, "command-" + proposed++);
-      } else if (dice < 553) {
+      } else if (roll < 553) {
         box.crash();
-      } else if (dice < 556) {
+      } else if (roll < 556) {
         box.takeSnapshot();
-      } else if (dice == 556 && group.maySpare(box) && wiped < 1) {
-        box.wipe("id-wiped-" + wiped++);
-      } else if (dice < 565 && !group.network.isEmpty()) {
+      } else if (roll == 556 && group.mayLoseDisk(box) && wiped < 1) {
+        box.wipeDisk("id-wiped-" + wiped++);
+      } else if (roll < 565 && !group.network.isEmpty()) {
         group.network.remove(group.random.nextInt(group.network.size()));
       } else if (!group.network.isEmpty()) {
         group.deliver(group.network.remove(group.random.nextInt(group.network.size())));
@@ -187,9 +191,9 @@
     }
     group.boxes.values().stream().filter(b -> b.replica == null).forEach(ReplicaGroup.Box::start);
     group.network.clear();
-    group.run(5_000);
+    group.runFor(5_000);
     group.propose(group.leader(), "the last");
-    group.run(500);
+    group.runFor(500);
     assertTrue(group.isCommitted("the last"));
     long applied = group.leader().appliedIndex;
     group.boxes.values().forEach(b -> assertEquals(b.appliedIndex, applied));
--- a/core/src/test/java/io/hingehoist/settings/FieldSpecsTest.java
+++ b/core/src/test/java/io/hingehoist/settings/FieldSpecsTest.java
@@ -8,7 +8,10 @@
 
 public final class FieldSpecsTest {
 
-  /** A text without a range allowed nothing but no text at all, so that no host started. */
+  /**
+   * Guards against a string field without a range: such a field accepted only the empty string, so
+   * that no host could start.
+   */
   @Test
   public void eachFieldOfTheSettingsFileHasARange() {
     List<List<FieldSpec>> sections =
--- a/core/src/test/java/io/hingehoist/settings/SettingsTreeTest.java
+++ b/core/src/test/java/io/hingehoist/settings/SettingsTreeTest.java
@@ -36,14 +36,14 @@
   }
 
   @Test
-  public void aBadValueIsNamedWithItsRange() {
+  public void anInvalidValueIsReportedWithItsRange() {
     String problem =
         SettingsTree.validate("/porting", "taskTimeoutMs", Optional.of("5")).orElseThrow();
     assertEquals(problem, "taskTimeoutMs: value \"5\" is not allowed; allowed: 10..600000");
   }
 
   @Test
-  public void pathsAreChecked() {
+  public void invalidPathsAreRejected() {
     assertTrue(SettingsPath.parse("/").isPresent());
     assertTrue(SettingsPath.parse("/a/b/c").isPresent());
     assertFalse(SettingsPath.parse("/a/b/c/d").isPresent());
--- a/schema/src/main/java/io/hingehoist/message/Bytes.java
+++ b/schema/src/main/java/io/hingehoist/message/Bytes.java
@@ -9,17 +9,18 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** An immutable sequence of bytes that compares by content. Thread-safe. */
+/** An immutable sequence of bytes, equal to another one with the same content. Thread-safe. */
 public final class Bytes {
   private static final Bytes EMPTY = new Bytes(new byte[0]);
 
   /**
-   * Most messages have 50 to 200 bytes; a longer one takes several buffers. With the library's 8 KB
-   * an owner allocated 58 KB for each task, a sixth of it here.
+   * The size of one buffer of an encoder. Most messages have 50 to 200 bytes; a longer one uses
+   * several buffers. With the library's default of 8 KB an owner allocated 58 KB per task, a sixth
+   * of it for these buffers.
    */
   private static final int BUFFER_BYTES = 256;
 
-  private static final MessagePack.PackerConfig PACKERS =
+  private static final MessagePack.PackerConfig PACKER_CONFIG =
       new MessagePack.PackerConfig().withBufferSize(BUFFER_BYTES);
 
   private final byte[] content;
@@ -38,21 +39,21 @@
     return new Bytes(array.clone());
   }
 
-  /** Returns a copy of a part of an array. */
+  /** Returns a copy of an array from {@code from}, inclusive, to {@code to}, exclusive. */
   public static Bytes copyOf(byte[] array, int from, int to) {
     return new Bytes(Arrays.copyOfRange(array, from, to));
   }
 
-  /** Writes a value of a message family. */
+  /** Encodes the fields of a value. */
   @FunctionalInterface
   public interface Encoder {
-    /** Writes the fields. */
+    /** Writes the fields to a packer. */
     void encode(MessagePacker packer) throws IOException;
   }
 
-  /** Returns a tag and the fields that an encoder writes. */
+  /** Returns the encoding of a tag, followed by the fields that an encoder writes. */
   public static Bytes encoded(int tag, Encoder encoder) {
-    try (MessageBufferPacker packer = PACKERS.newBufferPacker()) {
+    try (MessageBufferPacker packer = PACKER_CONFIG.newBufferPacker()) {
       packer.packInt(tag);
       encoder.encode(packer);
       return new Bytes(packer.toByteArray());
@@ -76,12 +77,12 @@
     return content.clone();
   }
 
-  /** Returns the array itself, for readers in this module that do not change it. */
+  /** Returns the underlying array without a copy; callers must not change it. */
   byte[] unsafeArray() {
     return content;
   }
 
-  /** Writes the bytes to a stream without a copy. */
+  /** Writes the bytes to a stream, without a copy. */
   public void writeTo(java.io.OutputStream out) throws IOException {
     out.write(content);
   }
@@ -91,7 +92,7 @@
     return java.nio.ByteBuffer.wrap(content).asReadOnlyBuffer();
   }
 
-  /** Returns the part from one position to another. */
+  /** Returns a copy of the bytes from {@code from}, inclusive, to {@code to}, exclusive. */
   public Bytes slice(int from, int to) {
     return copyOf(content, from, to);
   }
@@ -102,7 +103,7 @@
     packer.writePayload(content);
   }
 
-  /** Reads a MessagePack binary. */
+  /** Decodes a MessagePack binary. */
   public static Bytes decode(MessageUnpacker unpacker) throws IOException {
     int size = unpacker.unpackBinaryHeader();
     return new Bytes(Decoding.payload(unpacker, size));
@@ -118,7 +119,7 @@
     return Arrays.hashCode(content);
   }
 
-  /** Returns the bytes in hexadecimal, cut after 32 of them. */
+  /** Returns the bytes in hexadecimal; of more than 32 bytes, the first 32 and the size. */
   @Override
   public String toString() {
     int shown = Math.min(content.length, 32);
--- a/schema/src/main/java/io/hingehoist/message/Decoding.java
+++ b/schema/src/main/java/io/hingehoist/message/Decoding.java
@@ -9,53 +9,55 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Static helpers of the generated decoders. Each fails with an {@link IOException} on bad input.
+ * Static methods that the generated decoders share. Each throws an {@link IOException} on malformed
+ * input.
  */
 public final class Decoding {
-  /** The most bytes that one value may take: a frame is never larger. */
+  /** The maximum size of one value; a frame is never larger. */
   public static final int MAX_VALUE_BYTES = 64 * 1024 * 1024;
 
   /**
-   * Only a text that lies in several buffers is put together in such a decoder's buffer, and frames
-   * lie in one; yet it is made for each message that holds a text. With the library's 16 KB an
-   * owner allocated 58 KB for each task, a third of it here.
+   * The size of the buffer in which a decoder assembles a string that spans several input buffers.
+   * A frame lies in one input buffer, so the string buffer stays unused, but it is allocated for
+   * each message that contains a string. With the library's default of 16 KB an owner allocated 58
+   * KB per task, a third of it for these buffers.
    */
-  private static final int TEXT_BUFFER_CHARACTERS = 64;
+  private static final int STRING_BUFFER_CHARACTERS = 64;
 
-  private static final MessagePack.UnpackerConfig UNPACKERS =
-      new MessagePack.UnpackerConfig().withStringDecoderBufferSize(TEXT_BUFFER_CHARACTERS);
+  private static final MessagePack.UnpackerConfig UNPACKER_CONFIG =
+      new MessagePack.UnpackerConfig().withStringDecoderBufferSize(STRING_BUFFER_CHARACTERS);
 
   private Decoding() {}
 
-  /** Reads one part of a message. */
+  /** Decodes one part of a message. */
   @FunctionalInterface
   public interface Decoder<T> {
-    /** Returns the next part. */
+    /** Returns the decoded part. */
     T decode() throws IOException;
   }
 
-  /** Reads a message by its tag. */
+  /** Decodes a message of the type that its tag identifies. */
   @FunctionalInterface
   public interface TaggedDecoder<T> {
-    /** Returns the message with a tag. */
+    /** Returns the decoded message of the type with this tag. */
     T decode(int tag, MessageUnpacker unpacker) throws IOException;
   }
 
-  /** Reads one message that takes up all of the bytes. */
+  /** Decodes one message, which must use all of the bytes. */
   public static <T> T whole(Bytes bytes, TaggedDecoder<T> decoder) throws IOException {
-    try (MessageUnpacker unpacker = UNPACKERS.newUnpacker(bytes.unsafeArray())) {
+    try (MessageUnpacker unpacker = UNPACKER_CONFIG.newUnpacker(bytes.unsafeArray())) {
       int tag = unpacker.unpackInt();
       T value = decoder.decode(tag, unpacker);
       if (unpacker.hasNext()) {
-        throw new IOException("bytes follow the message with tag " + tag);
+        throw new IOException("trailing bytes after the message with tag " + tag);
       }
       return value;
     } catch (MessagePackException e) {
-      throw new IOException("not a message: " + e.getMessage(), e);
+      throw new IOException("malformed message: " + e.getMessage(), e);
     }
   }
 
-  /** Checks the number of fields of a record. */
+  /** Reads the header of a record and checks the number of its fields. */
   public static void fields(MessageUnpacker unpacker, int expected) throws IOException {
     int found = unpacker.unpackArrayHeader();
     if (found != expected) {
@@ -63,7 +65,10 @@
     }
   }
 
-  /** Reads a list. Its memory grows with the items that are really there. */
+  /**
+   * Decodes a list. Memory is allocated for each item that is present, not for the size in the
+   * header.
+   */
   public static <T> List<T> list(MessageUnpacker unpacker, Decoder<T> decoder) throws IOException {
     int size = unpacker.unpackArrayHeader();
     List<T> items = new ArrayList<>();
@@ -73,7 +78,7 @@
     return items;
   }
 
-  /** Reads a value that may be missing. */
+  /** Decodes an optional value. */
   public static <T> Optional<T> optional(MessageUnpacker unpacker, Decoder<T> decoder)
       throws IOException {
     if (unpacker.tryUnpackNil()) {
@@ -82,13 +87,13 @@
     return Optional.of(decoder.decode());
   }
 
-  /** Reads a constant by its position. */
+  /** Decodes an enum constant by its position. */
   public static <E extends Enum<E>> E constant(Class<E> type, MessageUnpacker unpacker)
       throws IOException {
     int position = unpacker.unpackInt();
     E[] constants = type.getEnumConstants();
     if (position < 0 || position >= constants.length) {
-      throw new IOException("no " + type.getSimpleName() + " at position " + position);
+      throw new IOException("no " + type.getSimpleName() + " constant at position " + position);
     }
     return constants[position];
   }
--- a/schema/src/test/java/io/hingehoist/message/MessageTest.java
+++ b/schema/src/test/java/io/hingehoist/message/MessageTest.java
@@ -11,14 +11,15 @@
 import org.testng.annotations.Test;
 
 public final class MessageTest {
-  private static StartRuns order(String spec, int runCount) {
+  private static StartRuns startRuns(String spec, int runCount) {
     List<RunRef> runs =
         IntStream.range(0, runCount).mapToObj(i -> new RunRef("job.0." + i, i)).toList();
     return new StartRuns(7, "worker", "job", spec, 40, new Room(1_600, 64, 0), runs);
   }
 
   /**
-   * Texts that are shorter and longer than any buffer of the codec, of one to four bytes a sign.
+   * Returns strings that are shorter and longer than any buffer of the codec, of one to four bytes
+   * per character.
    */
   @DataProvider
   public Object[][] texts() {
@@ -28,23 +29,23 @@
   }
 
   @Test(dataProvider = "texts")
-  public void aMessageIsReadAsItWasWritten(String text) throws IOException {
-    StartRuns order = order(text, 3);
-    assertEquals(Message.fromBytes(order.toBytes()), order);
+  public void aDecodedMessageEqualsTheEncodedOne(String text) throws IOException {
+    StartRuns startRuns = startRuns(text, 3);
+    assertEquals(Message.fromBytes(startRuns.toBytes()), startRuns);
   }
 
   @Test
-  public void aMessageOfManyBuffersIsReadAsItWasWritten() throws IOException {
-    StartRuns order = order("spec", 1_900);
-    assertEquals(Message.fromBytes(order.toBytes()), order);
+  public void aDecodedMessageOfManyBuffersEqualsTheEncodedOne() throws IOException {
+    StartRuns startRuns = startRuns("spec", 1_900);
+    assertEquals(Message.fromBytes(startRuns.toBytes()), startRuns);
   }
 
   @Test
-  public void aCutMessageIsRefused() {
-    byte[] whole = order("€".repeat(400), 2).toBytes().toArray();
+  public void aTruncatedMessageIsRejected() {
+    byte[] whole = startRuns("€".repeat(400), 2).toBytes().toArray();
     for (int size = 0; size < whole.length; size++) {
-      Bytes cut = Bytes.copyOf(Arrays.copyOf(whole, size));
-      assertThrows(IOException.class, () -> Message.fromBytes(cut));
+      Bytes truncated = Bytes.copyOf(Arrays.copyOf(whole, size));
+      assertThrows(IOException.class, () -> Message.fromBytes(truncated));
     }
   }
 }
