--- a/core/src/main/java/io/hingehoist/dispatch/AdmissionChecks.java
+++ b/core/src/main/java/io/hingehoist/dispatch/AdmissionChecks.java
@@ -19,26 +19,20 @@
   static Optional<RequestOutcome.Refused> refusalOf(
       ServicePool pool, ServicePolicy policy, int tasks, long deadlineMs, long nowMs) {
     if (!policy.enabled()) {
-      return refused(
-          RefusalCause.DISABLED,
-          "settings have this work disabled",
-          RETRY_LATER_MS);
+      return refused(RefusalCause.DISABLED, "settings have this work disabled", RETRY_LATER_MS);
     }
     if (!pool.hasWorkers(nowMs)) {
-      return refused(
-          RefusalCause.NO_WORKERS, "no worker takes work", RETRY_SOON_MS);
+      return refused(RefusalCause.NO_WORKERS, "no worker takes work", RETRY_SOON_MS);
     }
     if (pool.waitingTasks() + tasks > policy.queueTasks() + pool.workers().size()) {
-      return refused(
-          RefusalCause.QUEUE_FULL, "too much work waits", retryAfterMs(pool));
+      return refused(RefusalCause.QUEUE_FULL, "too much work waits", retryAfterMs(pool));
     }
     double neededMs = pool.estimatedTimeMs(tasks, nowMs);
     if (nowMs + neededMs > deadlineMs) {
       long missingMs = (long) (nowMs + neededMs - deadlineMs);
       return refused(
           RefusalCause.DEADLINE,
-          "about %.0f ms are needed and %d ms are left"
-              .formatted(neededMs, deadlineMs - nowMs),
+          "about %.0f ms are needed and %d ms are left".formatted(neededMs, deadlineMs - nowMs),
           Math.max(MIN_RETRY_AFTER_MS, missingMs));
     }
     return Optional.empty();
