--- a/core/src/main/java/io/hingehoist/control/ControlState.java
+++ b/core/src/main/java/io/hingehoist/control/ControlState.java
@@ -145,7 +145,7 @@
     if (!known.digest().equals(command.digest())) {
       return new AdmissionRefused(
           RefusalReason.CONFLICT,
-          "submissionId: value \"%s\" was already used with another payload; allowed: an unused id"
+          "submissionId: value \"%s\" stands for another payload; allowed: an unused id"
               .formatted(command.submissionId()));
     }
     if (known.outcome().isPresent()) {
--- a/core/src/main/java/io/hingehoist/control/EvacuationTable.java
+++ b/core/src/main/java/io/hingehoist/control/EvacuationTable.java
@@ -42,7 +42,7 @@
       zones.add(command.zone());
     } else {
       return new ZoneRefused(
-          "zone: value \"%s\" cannot be evacuated in addition to %d others; allowed: at most %d"
+          "zone: value \"%s\" would be evacuated beside %d others; allowed: at most %d"
               .formatted(command.zone(), zones.size(), MAX_ZONES));
     }
     current = new EvacuatedZones(current.version() + 1, List.copyOf(zones));
--- a/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
+++ b/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
@@ -85,7 +85,7 @@
     try {
       body = EntityUtils.toString(response.getEntity(), MAX_RESULT_BYTES);
     } catch (org.apache.hc.core5.http.ParseException e) {
-      throw new IOException("the response has an invalid content type", e);
+      throw new IOException("the answer has no readable content type", e);
     }
     boolean success = response.getCode() / 100 == 2;
     if (success) {
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -126,17 +126,13 @@
   }
 
   private void addGauges() {
+    metrics.addGauge("hingehoist_waiting_tasks", "Work held back here.", () -> waitingCount);
+    metrics.addGauge("hingehoist_in_flight_tasks", "Work sent to agents.", () -> inFlightCount);
     metrics.addGauge(
-        "hingehoist_waiting_tasks", "Work that waits in this entry.", () -> waitingCount);
-    metrics.addGauge(
-        "hingehoist_in_flight_tasks", "Work sent to agents and not finished.", () -> inFlightCount);
-    metrics.addGauge(
-        "hingehoist_usable_workers",
-        "Workers that accept work from this entry.",
-        () -> usableWorkers);
+        "hingehoist_usable_workers", "Workers that take work from here.", () -> usableWorkers);
     metrics.addGauge(
         "hingehoist_settings_revision",
-        "Revision of the settings in force in this entry.",
+        "Revision of the settings in force here.",
         () -> settingsView.revision());
   }
 
--- a/daemon/src/main/java/io/hingehoist/entry/JobManager.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobManager.java
@@ -104,7 +104,7 @@
 
   private static void scheduleTimeout(LocalJob job) {
     long leftMs = job.submission().deadlineAtMs() - System.currentTimeMillis() + ANSWER_GRACE_MS;
-    Answer unknown = new Answer.Unknown("no outcome was known in time", RETRY_AFTER_MS);
+    Answer unknown = new Answer.Unknown("no outcome is known in time", RETRY_AFTER_MS);
     job.admitted().completeOnTimeout(unknown, Math.max(1, leftMs), TimeUnit.MILLISECONDS);
     job.ended().completeOnTimeout(unknown, Math.max(1, leftMs), TimeUnit.MILLISECONDS);
   }
@@ -133,7 +133,7 @@
         .whenComplete(
             (answer, failure) -> {
               if (failure != null) {
-                job.end(new Answer.Unknown("no control replica is the leader", RETRY_AFTER_MS));
+                job.end(new Answer.Unknown("no control replica leads", RETRY_AFTER_MS));
               } else if (answer instanceof NoSuchJob) {
                 job.end(Refusals.toAnswer(refusal));
               } else {
@@ -316,8 +316,7 @@
     return control
         .query(new FindJob(caller, submissionId, waitMs), waitMs + QUERY_MARGIN_MS)
         .thenApplyAsync(this::toAnswer, dispatchThread)
-        .exceptionally(
-            failure -> new Answer.Unknown("no control replica is the leader", RETRY_AFTER_MS));
+        .exceptionally(failure -> new Answer.Unknown("no control replica leads", RETRY_AFTER_MS));
   }
 
   private Answer toAnswer(QueryAnswer answer) {
--- a/daemon/src/main/java/io/hingehoist/entry/OperatorResource.java
+++ b/daemon/src/main/java/io/hingehoist/entry/OperatorResource.java
@@ -75,7 +75,7 @@
   }
 
   private static Response unavailable() {
-    ChangeAnswer body = new ChangeAnswer("unknown", null, "no control replica is the leader");
+    ChangeAnswer body = new ChangeAnswer("unknown", null, "no control replica leads");
     return Response.status(Response.Status.GATEWAY_TIMEOUT).entity(body).build();
   }
 
--- a/daemon/src/main/java/io/hingehoist/entry/WaitingLimit.java
+++ b/daemon/src/main/java/io/hingehoist/entry/WaitingLimit.java
@@ -26,8 +26,7 @@
   CompletableFuture<Answer> runIfBelowLimit(Supplier<CompletableFuture<Answer>> action) {
     if (waiting.incrementAndGet() > limit) {
       waiting.decrementAndGet();
-      Answer busy =
-          new Answer.Unknown("too many callers are waiting at this entry", RETRY_AFTER_MS);
+      Answer busy = new Answer.Unknown("too many callers wait here", RETRY_AFTER_MS);
       return CompletableFuture.completedFuture(busy);
     }
     return action.get().whenComplete((answer, failure) -> waiting.decrementAndGet());
