--- a/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostOutbox.java
@@ -38,7 +38,7 @@
    * @param where the worker, owner or process that the decision concerns
    */
   void logDecision(String event, String task, String where, String outcome) {
-    String job = task.isEmpty() ? "" : TaskNames.jobOf(task);
+    String job = task.isEmpty() ? "" : TaskNames.jobIdOf(task);
     effects.add(new HostEffect.LogDecision(new Decision(event, job, task, where, outcome)));
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
+++ b/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
@@ -26,7 +26,7 @@
 
   /** Returns the time at which all runs of a worker must be over under a lease granted now. */
   long latestEndMs(WorkerInstance instance, long nowMs) {
-    long latestMs = nowMs + timing.workerOverAfterMs();
+    long latestMs = nowMs + timing.workerRunsOverAfterMs();
     for (HostedRun run : instance.runs()) {
       latestMs = Math.min(latestMs, Math.min(run.mustEndByMs(), mustEndByMs(run)));
     }
@@ -47,7 +47,7 @@
 
   /** Returns when a run that is stopped now must be over. */
   long stoppedRunEndsByMs(long nowMs) {
-    return nowMs + timing.workerOverAfterMs();
+    return nowMs + timing.workerRunsOverAfterMs();
   }
 
   /** Returns whether a run that starts now can get a lease that is long enough. */
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -57,7 +57,7 @@
     this.roomAllocator = roomAllocator;
     this.outbox = outbox;
     // Runs started by the previous incarnation of this host last no longer than the worker's lease.
-    this.formerIncarnationOverAtMs = nowMs + timing.workerOverAfterMs();
+    this.formerIncarnationOverAtMs = nowMs + timing.workerRunsOverAfterMs();
   }
 
   /**
@@ -117,7 +117,7 @@
    * from an owner that has just started.
    */
   private static boolean expiresBeforeNextHeartbeat(OwnerSession session, long nowMs) {
-    return session.lease.remainingMs(nowMs) < RunTiming.BEAT_MS;
+    return session.lease.remainingMs(nowMs) < RunTiming.HEARTBEAT_PERIOD_MS;
   }
 
   /**
@@ -221,7 +221,7 @@
     boolean leaseExpired = session.lease.isExpired(nowMs);
     return leaseExpired
         && (session.runCount > 0
-            || session.lease.heartbeatAgeMs(nowMs) >= RunTiming.IDLE_SESSION_MS);
+            || session.lease.heartbeatAgeMs(nowMs) >= RunTiming.IDLE_SESSION_TIMEOUT_MS);
   }
 
   /** Notifies the owners whose runs of former sessions are now all over. */
--- a/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
+++ b/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
@@ -108,7 +108,7 @@
     workMs += run.estimateMs * percent / (double) COMPLETE_PERCENT;
     runMs += elapsedMs;
     expectedPercent += usualRate * elapsedMs * COMPLETE_PERCENT / run.estimateMs;
-    jobs.add(TaskNames.jobOf(run.run.task()));
+    jobs.add(TaskNames.jobIdOf(run.run.task()));
   }
 
   /** Judges the recorded progress if there is enough of it; returns whether the pace changed. */
--- a/core/src/main/java/io/hingehoist/run/host/RoomReservations.java
+++ b/core/src/main/java/io/hingehoist/run/host/RoomReservations.java
@@ -50,7 +50,7 @@
   void consume(long sessionId, Room need) {
     Reservation reservation = bySession.get(sessionId);
     if (reservation != null) {
-      reservation.room = Rooms.atLeastNone(Rooms.minus(reservation.room, need));
+      reservation.room = Rooms.clampToZero(Rooms.minus(reservation.room, need));
       if (reservation.room.equals(Rooms.none())) {
         bySession.remove(sessionId);
       }
--- a/core/src/main/java/io/hingehoist/run/host/StartGuard.java
+++ b/core/src/main/java/io/hingehoist/run/host/StartGuard.java
@@ -1,7 +1,7 @@
 package io.hingehoist.run.host;
 
 import io.hingehoist.message.EvacuatedZones;
-import io.hingehoist.run.ZoneKnowledge;
+import io.hingehoist.run.EvacuatedZonesView;
 
 /**
  * Decides whether a host may start runs at all: not during a planned stop, and not in an
@@ -10,7 +10,7 @@
  */
 final class StartGuard {
   private final String zone;
-  private final ZoneKnowledge zones = ZoneKnowledge.create();
+  private final EvacuatedZonesView zones = EvacuatedZonesView.create();
   private boolean zoneAllowsStarts;
   private boolean stopping;
   private long refusedForZoneCount;
@@ -23,13 +23,13 @@
     return zone;
   }
 
-  ZoneKnowledge zones() {
+  EvacuatedZonesView zones() {
     return zones;
   }
 
   /** Updates the evacuated zones; returns whether the update was new. */
   boolean update(EvacuatedZones update, long nowMs) {
-    boolean changed = zones.learn(update, nowMs);
+    boolean changed = zones.update(update, nowMs);
     if (changed) {
       zoneAllowsStarts = zones.allowsStartsIn(zone);
     }
--- a/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
@@ -4,8 +4,8 @@
 import io.hingehoist.message.OwnerWaiting;
 import io.hingehoist.message.RunRef;
 import io.hingehoist.message.StartRuns;
+import io.hingehoist.run.EvacuatedZonesView;
 import io.hingehoist.run.RunTiming;
-import io.hingehoist.run.ZoneKnowledge;
 import java.util.List;
 
 /**
@@ -198,7 +198,7 @@
   }
 
   /** Returns the known state of the evacuated availability zones. */
-  public ZoneKnowledge zones() {
+  public EvacuatedZonesView zones() {
     return startGuard.zones();
   }
 
--- a/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
@@ -114,7 +114,7 @@
    */
   long grantLease(long overAtMs, long nowMs) {
     leaseOverAtMs = Math.max(leaseOverAtMs, overAtMs);
-    return minClockMs(nowMs) + timing.workerLeaseOverAfterMs(leaseOverAtMs - nowMs);
+    return minClockMs(nowMs) + timing.workerLeaseEndingWithinMs(leaseOverAtMs - nowMs);
   }
 
   boolean isLeaseOver(long nowMs) {
@@ -163,7 +163,7 @@
   /** Returns whether the worker has little room left, or too little for a run with a need. */
   boolean isNearlyFullFor(Room need) {
     Room free = free();
-    return Rooms.isTight(free, info.capacity()) || !Rooms.fits(need, free);
+    return Rooms.isNearlyFull(free, info.capacity()) || !Rooms.fits(need, free);
   }
 
   /** Records a run that succeeded. */
--- a/core/src/test/java/io/hingehoist/run/host/HostFixture.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostFixture.java
@@ -28,7 +28,7 @@
    * over; no zone is evacuated.
    */
   static HostFixture startedLongBefore(long nowMs) {
-    long startedAtMs = nowMs - TIMING.workerOverAfterMs();
+    long startedAtMs = nowMs - TIMING.workerRunsOverAfterMs();
     return new HostFixture(
         ZoneFixtures.noneEvacuated(WorkerHost.create("h", 1, "z", TIMING, 100, startedAtMs)));
   }
--- a/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
@@ -88,7 +88,7 @@
     answerPoll(1_460);
     fixture.order(OTHER_OWNER_SESSION, WORKER, 1_460, LATER_RUN);
     long deadlineMs = fixture.all(HostEffect.StartCall.class).getFirst().deadlineMs();
-    long mustEndByMs = 1_400 + HostFixture.TIMING.workerOverAfterMs();
+    long mustEndByMs = 1_400 + HostFixture.TIMING.workerRunsOverAfterMs();
     assertTrue(overAtMs(deadlineMs, 1_460) <= mustEndByMs, "deadline " + deadlineMs);
   }
 
@@ -154,7 +154,7 @@
     fixture.host.startCallCompleted(WORKER, LATER_RUN, new StartResult.Unanswered(), 1_300);
     heartbeat(OTHER_OWNER_SESSION, 1_310);
     fixture.host.stopRun(OTHER_OWNER_SESSION, LATER_RUN, 1_310);
-    long firstCallExpiresAtMs = 1_010 + HostFixture.TIMING.workerOverAfterMs();
+    long firstCallExpiresAtMs = 1_010 + HostFixture.TIMING.workerRunsOverAfterMs();
     heartbeat(OTHER_OWNER_SESSION, firstCallExpiresAtMs);
     fixture.answerPoll(WORKER, firstCallExpiresAtMs, List.of());
     fixture.host.onTick(firstCallExpiresAtMs + 50);
@@ -172,7 +172,7 @@
     fixture.order(LOST_OWNER_SESSION, WORKER, 1_300, LATER_RUN);
     fixture.host.startCallCompleted(WORKER, LATER_RUN, new StartResult.Unanswered(), 1_330);
     loseOwner(1_340);
-    long leaseOverAtMs = 1_330 + HostFixture.TIMING.workerOverAfterMs();
+    long leaseOverAtMs = 1_330 + HostFixture.TIMING.workerRunsOverAfterMs();
     heartbeat(OTHER_OWNER_SESSION, leaseOverAtMs);
     assertEquals(fixture.host.runCount(), 3);
     fixture.answerPoll(
--- a/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
@@ -21,7 +21,7 @@
   private static final String WORKER = "w1";
   private static final RunRef RUNNING = new RunRef("j.0.0", 1);
   private static final RunRef ORDERED = new RunRef("j.0.1", 1);
-  private static final long LEASE_OVER_AT_MS = 1_000 + HostFixture.TIMING.workerOverAfterMs();
+  private static final long LEASE_OVER_AT_MS = 1_000 + HostFixture.TIMING.workerRunsOverAfterMs();
 
   private HostFixture fixture;
 
@@ -123,7 +123,7 @@
       tick(nowMs);
     }
     heartbeat(1_900);
-    tick(1_110 + HostFixture.TIMING.workerOverAfterMs());
+    tick(1_110 + HostFixture.TIMING.workerRunsOverAfterMs());
     assertEquals(fixture.sent(RunEnded.class).getFirst().end(), RunEnd.LOST);
     assertEquals(fixture.sent(WorkerCrashed.class), List.of());
     assertEquals(fixture.host.workerCount(), 1);
--- a/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
@@ -25,7 +25,7 @@
 
 public final class WorkerHostTest {
   private static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
-  private static final long RUNS_OVER_AFTER_MS = TIMING.workerOverAfterMs();
+  private static final long RUNS_OVER_AFTER_MS = TIMING.workerRunsOverAfterMs();
   private static final Room CAPACITY = new Room(2_000, 1_000, 0);
   private static final Room NEED = new Room(1_000, 10, 0);
   private static final long SESSION = 7;
@@ -628,8 +628,8 @@
   public void aSessionWithoutRunsOutlivesItsLeaseAndCanRenewIt() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
-    host.onTick(1_000 + RunTiming.IDLE_SESSION_MS - 1);
-    collectEffects(host, 1_000 + RunTiming.IDLE_SESSION_MS - 1);
+    host.onTick(1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS - 1);
+    collectEffects(host, 1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS - 1);
     assertEquals(all(HostEffect.CloseSession.class), List.of());
     host.ownerHeartbeat(SESSION, 3_000, true, 3_000);
     order(host, 3_001, run(0, 1));
@@ -648,8 +648,8 @@
   public void aSessionWithoutRunsIsClosedAfterMissingHeartbeats() {
     WorkerHost host = hostWithOwner(1_000);
     host.ownerHeartbeat(SESSION, 1_000, true, 1_000);
-    host.onTick(1_000 + RunTiming.IDLE_SESSION_MS);
-    collectEffects(host, 1_000 + RunTiming.IDLE_SESSION_MS);
+    host.onTick(1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS);
+    collectEffects(host, 1_000 + RunTiming.IDLE_SESSION_TIMEOUT_MS);
     assertEquals(all(HostEffect.CloseSession.class).size(), 1);
   }
 
--- a/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
+++ b/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
@@ -7,7 +7,7 @@
 import io.hingehoist.command.MemberRefused;
 import io.hingehoist.command.RegisterAgent;
 import io.hingehoist.loop.InboxLoop;
-import io.hingehoist.loop.SleepWatch;
+import io.hingehoist.loop.SleepDetector;
 import io.hingehoist.message.CreditDemand;
 import io.hingehoist.message.CreditReturn;
 import io.hingehoist.message.FenceJob;
@@ -72,7 +72,7 @@
   private boolean registering;
   private boolean hadLease;
   private boolean stopping;
-  private final SleepWatch sleepWatch = SleepWatch.create();
+  private final SleepDetector sleepWatch = SleepDetector.create();
   private long sleeps;
 
   private AgentNode(
@@ -132,7 +132,7 @@
     long sleptMs = sleepWatch.sleptMs();
     if (sleptMs > 0) {
       LOG.infof("event=mayHaveSlept agent=%s ms=%d", node.nodeId(), sleptMs);
-      ledger.loseLease();
+      ledger.dropLease();
       sleeps++;
       heartbeatSentAtMs = 0;
     }
@@ -220,7 +220,7 @@
     heartbeatSentAtMs = 0;
     if (result instanceof MemberRefused refused) {
       long next = Leases.nextIncarnation(refused);
-      ledger.renew(next);
+      ledger.renewIncarnation(next);
       LOG.infof("event=incarnationRenewed agent=%s incarnation=%d", node.nodeId(), next);
       tellEntries();
     }
@@ -261,12 +261,12 @@
   private void onAnswer(RunKey key, BackendAnswer answer) {
     switch (answer) {
       case BackendAnswer.Ended ended -> {
-        metrics.noteTask(ended.state().name());
+        metrics.countTask(ended.state().name());
         carryOut(ledger.onRunEnded(key, ended.state(), ended.result(), ended.ranMicros()));
       }
       case BackendAnswer.NotReached notReached -> {
-        metrics.noteTask("NOT_REACHED");
-        carryOut(ledger.onNotRun(key));
+        metrics.countTask("NOT_REACHED");
+        carryOut(ledger.onBackendUnreachable(key));
       }
     }
   }
@@ -296,7 +296,7 @@
       } else if (greeted && isFromEntry(message)) {
         loop.add(() -> carryOut(ledger.onMessage(connection.id(), message, InboxLoop.nowMs())));
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         connection.close();
       }
     }
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -5,7 +5,7 @@
 import io.hingehoist.directory.PeerDirectory;
 import io.hingehoist.log.DecisionLog;
 import io.hingehoist.loop.NodeLoop;
-import io.hingehoist.loop.SleepWatch;
+import io.hingehoist.loop.SleepDetector;
 import io.hingehoist.message.DocumentNotice;
 import io.hingehoist.message.EvacuatedZones;
 import io.hingehoist.message.HostRows;
@@ -22,21 +22,21 @@
 import io.hingehoist.metrics.Metrics;
 import io.hingehoist.net.ControlLinks;
 import io.hingehoist.net.EventLoop;
-import io.hingehoist.net.HttpAnswer;
-import io.hingehoist.net.HttpCall;
+import io.hingehoist.net.HttpExchange;
+import io.hingehoist.net.HttpResponse;
 import io.hingehoist.net.HttpServer;
 import io.hingehoist.net.PlannedStop;
 import io.hingehoist.net.ZoneGauges;
 import io.hingehoist.quorum.ControlAddresses;
 import io.hingehoist.route.RouteTable;
+import io.hingehoist.run.EvacuatedZonesView;
 import io.hingehoist.run.JobEnd;
 import io.hingehoist.run.JobPlan;
 import io.hingehoist.run.RunTiming;
-import io.hingehoist.run.ZoneKnowledge;
-import io.hingehoist.run.load.Reservation;
+import io.hingehoist.run.load.UrgentReservation;
 import io.hingehoist.run.owner.JobOwner;
 import io.hingehoist.run.owner.OwnerEffect;
-import io.hingehoist.run.owner.SleepDoubt;
+import io.hingehoist.run.owner.SleepCheck;
 import io.hingehoist.settings.NodeSection;
 import io.hingehoist.settings.OwnerSection;
 import io.hingehoist.wire.Addresses;
@@ -79,10 +79,10 @@
   private final ControlLinks controls;
   private final HostSessions hosts;
   private final HttpServer front;
-  private final ZoneKnowledge zones = ZoneKnowledge.create();
+  private final EvacuatedZonesView zones = EvacuatedZonesView.create();
   private final RouteFollower routes;
-  private final SleepWatch sleepWatch = SleepWatch.create();
-  private final SleepDoubt doubt = SleepDoubt.create();
+  private final SleepDetector sleepWatch = SleepDetector.create();
+  private final SleepCheck doubt = SleepCheck.create();
   private long doubtedSleepMs;
   private long tickedAtMs;
 
@@ -110,7 +110,7 @@
             node.nodeId(),
             node.zone(),
             settings.followedHosts(),
-            Reservation.ofPercent(settings.reservedForUrgentPercent()));
+            UrgentReservation.ofPercent(settings.reservedForUrgentPercent()));
     Peer self =
         new Peer(
             node.nodeId(),
@@ -153,7 +153,7 @@
     owner.loop.start(() -> owner.controls.open(ControlAddresses.of(node)));
     metrics.addGauge("hingehoist_owner_jobs", "Jobs without an answer.", owner.jobs::jobCount);
     metrics.addGauge(
-        "hingehoist_owner_queued_tasks", "Tasks that wait for room.", owner.jobs::queuedCount);
+        "hingehoist_owner_queued_tasks", "Tasks that wait for room.", owner.jobs::waitingTaskCount);
     ZoneGauges.add(metrics, owner.zones);
     metrics.addGauge(
         "hingehoist_log_lines_dropped", "Log lines dropped under load.", log::droppedCount);
@@ -165,10 +165,10 @@
     loop.execute(() -> controls.open(ControlAddresses.of(newNode)));
   }
 
-  private void answerReady(HttpCall call) {
+  private void answerReady(HttpExchange call) {
     boolean ready =
         !stop.hasBegun() && routes.table().version() > 0 && jobs.hasReadyWorker(EventLoop.nowMs());
-    call.answer(HttpAnswer.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
+    call.answer(HttpResponse.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
   }
 
   // Time.
@@ -205,7 +205,7 @@
     long sleptMs = sleepWatch.sleptMs();
     if (sleptMs >= timing.ownerLeaseMs() && jobs.jobCount() > 0) {
       doubtedSleepMs = sleptMs;
-      int asked = hosts.sendWhereRunsAre(new SessionProbe(doubt.nextNumber()));
+      int asked = hosts.sendWhereRunsAre(new SessionProbe(doubt.nextProbeNumber()));
       doubt.begin(asked, EventLoop.nowMs());
       log.write("mayHaveSlept", node.nodeId(), "ms=" + sleptMs + " hostsAsked=" + asked);
     }
@@ -238,26 +238,26 @@
   @Override
   public void settle(long nowMs) {
     checkSleep();
-    if (doubt.isOpen()) {
+    if (doubt.isPending()) {
       return;
     }
     jobs.place(nowMs);
     // An answer may free a caller's connection for its next job, which settles by itself.
-    jobs.takeEffects().forEach(this::carryOut);
+    jobs.drainEffects().forEach(this::carryOut);
   }
 
   private void carryOut(OwnerEffect effect) {
     switch (effect) {
-      case OwnerEffect.ToHost to -> hosts.send(to.hostId(), to.message());
-      case OwnerEffect.Noted noted -> log.write(noted.decision());
-      case OwnerEffect.Answer answer -> answer(answer.jobId(), answer.end());
+      case OwnerEffect.SendToHost to -> hosts.send(to.hostId(), to.message());
+      case OwnerEffect.LogDecision noted -> log.write(noted.decision());
+      case OwnerEffect.AnswerJob answer -> answer(answer.jobId(), answer.end());
     }
   }
 
   private void answer(String jobId, JobEnd end) {
     long ms = EventLoop.nowMs() - takenAtMs.remove(jobId);
     String kind = end.getClass().getSimpleName();
-    metrics.noteAnswer("job", kind, ms / 1_000.0);
+    metrics.recordAnswer("job", kind, ms / 1_000.0);
     log.write(
         new io.hingehoist.run.Decision("jobAnswered", jobId, "", "", "ms=" + ms + " end=" + end));
     waiters.end(jobId, end);
@@ -294,7 +294,7 @@
   @Override
   public void leave(String jobId, Waiter waiter) {
     if (waiters.remove(jobId, waiter)) {
-      jobs.abandon(jobId, "caller left");
+      jobs.drop(jobId, "caller left");
       loop.settleLater();
     }
   }
@@ -313,7 +313,7 @@
 
   @Override
   public long pendingCount(String queue) {
-    return jobs.pendingCount(queue);
+    return jobs.unstartedJobCount(queue);
   }
 
   // What control replicas and hosts say.
@@ -323,7 +323,7 @@
    * refuses, also where it reaches no control replica itself.
    */
   private void learnZones(EvacuatedZones heard, String source) {
-    if (zones.learn(heard, EventLoop.nowMs())) {
+    if (zones.update(heard, EventLoop.nowMs())) {
       String outcome = "version=%d evacuated=%s".formatted(heard.version(), heard.zones());
       log.write("zonesInForce", source, outcome);
       hosts.sendToAll(heard);
@@ -374,16 +374,16 @@
     public void onMessage(String hostId, Message message) {
       long now = EventLoop.nowMs();
       switch (message) {
-        case HostRows rows -> jobs.hostRows(hostId, rows, now);
+        case HostRows rows -> jobs.hostRowsReceived(hostId, rows, now);
         case RunEnded ended -> {
-          metrics.noteTask(ended.end().name());
+          metrics.countTask(ended.end().name());
           jobs.runEnded(hostId, ended, now);
         }
         case WorkerCrashed news -> jobs.workerCrashed(news, now);
-        case SessionProof proof -> doubt.proven(proof.number());
+        case SessionProof proof -> doubt.proofReceived(proof.number());
         case RunNotStarted report -> jobs.runNotStarted(hostId, report, now);
         case EvacuatedZones heard -> learnZones(heard, hostId);
-        default -> metrics.noteBadFrame();
+        default -> metrics.countBadFrame();
       }
       loop.settleLater();
     }
@@ -423,7 +423,7 @@
     @Override
     public void onProbe(long number, Consumer<Message> answers) {
       checkSleep();
-      if (!doubt.isOpen()) {
+      if (!doubt.isPending()) {
         answers.accept(new SessionProof(number, EventLoop.nowMs()));
       }
     }
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
@@ -101,7 +101,7 @@
   private final boolean discovers;
   private final int voterCount;
   private final InboxLoop<ControlEvent> loop;
-  private final List<ReplicaEffect.SendDurable> afterSync = new ArrayList<>();
+  private final List<ReplicaEffect.SendAfterSync> afterSync = new ArrayList<>();
   private final Map<Command, Long> proposedAtMs = new HashMap<>();
   private final Thread platformThread;
   private final FrameServer server;
@@ -288,7 +288,7 @@
       case QueryRequest request ->
           step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
       case HeartbeatRequest request -> {
-        liveness.heard(request.role(), request.nodeId(), request.incarnation(), now);
+        liveness.recordHeartbeat(request.role(), request.nodeId(), request.incarnation(), now);
         noteDraining(request, now);
         step(new ReplicaEvent.ReadRequested(requests.add(client, request)), now);
       }
@@ -382,7 +382,7 @@
     if (!replica.isLeader()) {
       return;
     }
-    for (Command command : liveness.dueCommands(state, now)) {
+    for (Command command : liveness.expiryCommands(state, now)) {
       proposeOnce(command, now);
     }
     if (now - clockAtMs >= CLOCK_PERIOD_MS) {
@@ -405,7 +405,7 @@
   private void carryOut(ReplicaEffect effect) throws IOException {
     switch (effect) {
       case ReplicaEffect.Send send -> send(send.address(), send.message());
-      case ReplicaEffect.SendDurable send -> afterSync.add(send);
+      case ReplicaEffect.SendAfterSync send -> afterSync.add(send);
       case ReplicaEffect.SaveVote vote -> journal.addVote(vote.term(), vote.votedFor());
       case ReplicaEffect.Append append -> journal.addEntries(append.entries());
       case ReplicaEffect.Truncate truncate -> journal.addTruncation(truncate.fromIndex());
@@ -457,7 +457,7 @@
               links.sendToAll(announce);
               links.renewSilent(now);
               discovery.controlAddresses().forEach(address -> links.open(address, now));
-              replica.knowAddresses(links.addresses());
+              replica.updateKnownAddresses(links.addresses());
             });
   }
 
@@ -470,7 +470,7 @@
   private void apply(LogEntry entry) {
     CommandResult result = state.apply(entry);
     appliedIndex = entry.index();
-    noteSettingsChange(result);
+    countSettingsChange(result);
     noteDocument(entry, result);
     noteZones(entry, result);
     if (entry.kind() == EntryKind.COMMAND) {
@@ -501,13 +501,13 @@
     }
   }
 
-  private void noteSettingsChange(CommandResult result) {
+  private void countSettingsChange(CommandResult result) {
     switch (result) {
       case SettingsAccepted accepted -> {
-        metrics.noteSettingsChange("accepted");
+        metrics.countSettingsChange("accepted");
         LOG.infof("event=settingsAccepted revision=%d", accepted.revision());
       }
-      case SettingsRefused refused -> metrics.noteSettingsChange("refused");
+      case SettingsRefused refused -> metrics.countSettingsChange("refused");
       default -> {}
     }
   }
@@ -526,7 +526,7 @@
     LOG.infof(
         "event=roleChanged role=%s term=%d leader=%s",
         changed.role(), changed.term(), changed.leaderAddress());
-    metrics.noteRole(changed.role().name(), changed.term());
+    metrics.recordRoleChange(changed.role().name(), changed.term());
     leading = changed.role() == ReplicaRole.LEADER;
     if (leading) {
       liveness.reset(nowMs());
@@ -621,7 +621,7 @@
       } else if (hello.role() != Role.CONTROL && isFromClient(message)) {
         loop.add(new ControlEvent.FromClient(connection, message));
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         connection.close();
       }
     }
@@ -631,7 +631,7 @@
           && greeting.protocolVersion() == FrameConnection.PROTOCOL_VERSION) {
         hello = greeting;
       } else {
-        metrics.noteBadFrame();
+        metrics.countBadFrame();
         connection.close();
       }
     }
