--- a/core/src/test/java/io/hingehoist/run/PlayedLoad.java
+++ b/core/src/test/java/io/hingehoist/run/LoadSimulation.java
@@ -11,13 +11,13 @@
 import io.hingehoist.message.SessionOpened;
 import io.hingehoist.message.StartRuns;
 import io.hingehoist.message.StopRun;
-import io.hingehoist.run.host.HoldAnswer;
 import io.hingehoist.run.host.HostEffect;
-import io.hingehoist.run.host.KnownZones;
-import io.hingehoist.run.host.StartAnswer;
+import io.hingehoist.run.host.PollResult;
+import io.hingehoist.run.host.StartResult;
 import io.hingehoist.run.host.WorkerHost;
 import io.hingehoist.run.host.WorkerInfo;
-import io.hingehoist.run.load.Reservation;
+import io.hingehoist.run.host.ZoneFixtures;
+import io.hingehoist.run.load.UrgentReservation;
 import io.hingehoist.run.owner.JobOwner;
 import io.hingehoist.run.owner.OwnerEffect;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
  * pairs of middling ones, then a few long ones. A job earns its worth if it is complete by its
  * objective, a fifth of it up to three times as late.
  */
-final class PlayedLoad {
+final class LoadSimulation {
   private static final long LINK_MS = 1;
   private static final long WORKER_MS = 1;
   private static final long TICK_MS = 50;
@@ -180,20 +180,21 @@
     private final WorkerHost decisions;
     private final Room capacity;
     private final Map<RunRef, Long> runs = new LinkedHashMap<>();
-    private final List<HoldAnswer.Ended> ended = new ArrayList<>();
+    private final List<PollResult.Ended> ended = new ArrayList<>();
     private final Trouble trouble;
     private final double speed;
     private final Map<Integer, OpenRuns> openRuns = new HashMap<>();
     private final Map<Integer, Long> beatAtMs = new HashMap<>();
-    private Optional<HostEffect.CallHold> openHold = Optional.empty();
+    private Optional<HostEffect.PollCall> openHold = Optional.empty();
 
     private Host(String id, Room capacity, Trouble trouble, double speed) {
       this.speed = speed;
       this.id = id;
       this.trouble = trouble;
       this.capacity = capacity;
-      this.decisions = KnownZones.none(WorkerHost.create(id, 1, "z", TIMING, 1, -10_000));
-      decisions.workerSeen(
+      this.decisions =
+          ZoneFixtures.noneEvacuated(WorkerHost.create(id, 1, "z", TIMING, 1, -10_000));
+      decisions.workerHeartbeat(
           new WorkerInfo(id + "-w", "s", id, "z", false, capacity, List.of("a"), 1, 1), nowMs);
     }
 
@@ -201,9 +202,9 @@
       if (message instanceof StartRuns && openRuns(owner).isEmpty()) {
         beat(owner);
       }
-      openRuns(owner).note(message);
+      openRuns(owner).record(message);
       switch (message) {
-        case OwnerWaiting news -> decisions.ownerWaiting(owner, news, nowMs);
+        case OwnerWaiting news -> decisions.updateWaitingTasks(owner, news, nowMs);
         case StartRuns order -> {
           orders++;
           decisions.startRuns(owner, order, nowMs);
@@ -216,7 +217,10 @@
 
     private void beat() {
       for (int owner = 0; owner < owners.size(); owner++) {
-        long periodMs = openRuns(owner).isEmpty() ? RunTiming.IDLE_BEAT_MS : RunTiming.BEAT_MS;
+        long periodMs =
+            openRuns(owner).isEmpty()
+                ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS
+                : RunTiming.HEARTBEAT_PERIOD_MS;
         if (nowMs - beatAtMs.getOrDefault(owner, -periodMs) >= periodMs) {
           beat(owner);
         }
@@ -228,7 +232,7 @@
     private void beat(int owner) {
       beats++;
       beatAtMs.put(owner, nowMs);
-      decisions.ownerBeat(owner, nowMs, owners.get(owner).follows(id), nowMs);
+      decisions.ownerHeartbeat(owner, nowMs, owners.get(owner).follows(id), nowMs);
     }
 
     private OpenRuns openRuns(int owner) {
@@ -242,31 +246,31 @@
     }
 
     private void settle() {
-      decisions.showRows(nowMs);
-      decisions.takeEffects().forEach(this::carryOut);
+      decisions.publishWorkers(nowMs);
+      decisions.drainEffects().forEach(this::carryOut);
     }
 
     private void carryOut(HostEffect effect) {
       switch (effect) {
-        case HostEffect.CallStart call -> after(WORKER_MS, () -> start(call));
-        case HostEffect.CallHold call -> after(WORKER_MS, () -> hold(call));
-        case HostEffect.ToOwner to -> after(LINK_MS, () -> arrive((int) to.sessionId(), to));
-        case HostEffect.CallStop call -> after(WORKER_MS, () -> stop(call));
+        case HostEffect.StartCall call -> after(WORKER_MS, () -> start(call));
+        case HostEffect.PollCall call -> after(WORKER_MS, () -> hold(call));
+        case HostEffect.SendToOwner to -> after(LINK_MS, () -> arrive((int) to.sessionId(), to));
+        case HostEffect.StopCall call -> after(WORKER_MS, () -> stop(call));
         case HostEffect.CloseSession close -> throw new IllegalStateException("lease over");
-        case HostEffect.ForgetAddress forget -> {}
-        case HostEffect.Noted noted -> {}
+        case HostEffect.CloseConnections forget -> {}
+        case HostEffect.LogDecision noted -> {}
       }
     }
 
-    private void arrive(int owner, HostEffect.ToOwner to) {
+    private void arrive(int owner, HostEffect.SendToOwner to) {
       JobOwner jobs = owners.get(owner);
-      openRuns(owner).note(to.message());
+      openRuns(owner).record(to.message());
       switch (to.message()) {
         case SessionOpened opened ->
             jobs.sessionOpened(id, opened.zone(), 1, opened.formerRunsOver());
         case HostRows rows -> {
           rowsShown++;
-          jobs.hostRows(id, rows, nowMs);
+          jobs.hostRowsReceived(id, rows, nowMs);
         }
         case RunEnded end -> jobs.runEnded(id, end, nowMs);
         case RunNotStarted report -> {
@@ -275,12 +279,12 @@
         }
         default -> throw new IllegalStateException("not for an owner: " + to.message());
       }
-      PlayedLoad.this.settle(owner);
+      LoadSimulation.this.settle(owner);
     }
 
-    private void start(HostEffect.CallStart call) {
+    private void start(HostEffect.StartCall call) {
       runs.put(call.run(), nowMs);
-      decisions.startAnswered(id + "-w", call.run(), new StartAnswer.Started(nowMs), nowMs);
+      decisions.startCallCompleted(id + "-w", call.run(), new StartResult.Started(nowMs), nowMs);
       long runMs = Math.max(1, (long) (workMs.get(call.run().task()) / speed));
       at(trouble.endsAtMs(nowMs, runMs), () -> end(call.run(), RunEnd.DONE));
       settle();
@@ -291,20 +295,20 @@
       return trouble.speed() > 0 && usedMilli + cpuMilli <= capacity.cpuMilli();
     }
 
-    private void stop(HostEffect.CallStop call) {
-      decisions.stopAnswered(id + "-w", call.run(), true, nowMs);
+    private void stop(HostEffect.StopCall call) {
+      decisions.stopCallCompleted(id + "-w", call.run(), true, nowMs);
       end(call.run(), RunEnd.STOPPED);
       settle();
     }
 
     private void end(RunRef run, RunEnd how) {
       if (runs.remove(run) != null) {
-        ended.add(new HoldAnswer.Ended(ended.size() + 1, run, how));
+        ended.add(new PollResult.Ended(ended.size() + 1, run, how));
         openHold.ifPresent(this::answer);
       }
     }
 
-    private void hold(HostEffect.CallHold call) {
+    private void hold(HostEffect.PollCall call) {
       openHold = Optional.of(call);
       if (call.lastSeen() < ended.size()) {
         answer(call);
@@ -313,25 +317,25 @@
       }
     }
 
-    private List<HoldAnswer.Running> running() {
-      List<HoldAnswer.Running> rows = new ArrayList<>();
+    private List<PollResult.Running> running() {
+      List<PollResult.Running> rows = new ArrayList<>();
       runs.forEach(
           (run, beganAtMs) -> {
             double workedMs = speed * trouble.workedMs(beganAtMs, nowMs);
             double share = workedMs / Math.max(1, workMs.get(run.task()));
-            rows.add(new HoldAnswer.Running(run, (int) Math.min(99, 100 * share)));
+            rows.add(new PollResult.Running(run, (int) Math.min(99, 100 * share)));
           });
       return rows;
     }
 
-    private void answer(HostEffect.CallHold call) {
+    private void answer(HostEffect.PollCall call) {
       openHold = Optional.empty();
-      List<HoldAnswer.Ended> news = List.copyOf(ended.subList((int) call.lastSeen(), ended.size()));
-      HoldAnswer answer = new HoldAnswer.Listed(nowMs, running(), news);
+      List<PollResult.Ended> news = List.copyOf(ended.subList((int) call.lastSeen(), ended.size()));
+      PollResult answer = new PollResult.Listed(nowMs, running(), news);
       after(
           WORKER_MS,
           () -> {
-            decisions.holdAnswered(id + "-w", answer, nowMs);
+            decisions.pollCallCompleted(id + "-w", answer, nowMs);
             settle();
           });
     }
@@ -364,7 +368,7 @@
   private long nowMs = 1;
   private int jobCount;
 
-  private PlayedLoad(
+  private LoadSimulation(
       long seed,
       Mix mix,
       int ownerCount,
@@ -375,7 +379,7 @@
     this(seed, mix, ownerCount, hostCount, followedHosts, trouble, uneven, 0);
   }
 
-  private PlayedLoad(
+  private LoadSimulation(
       long seed,
       Mix mix,
       int ownerCount,
@@ -392,7 +396,7 @@
     for (int i = 0; i < ownerCount; i++) {
       owners.add(
           JobOwner.create(
-              TIMING, "o" + i, "z", followedHosts, Reservation.ofPercent(reservedPercent)));
+              TIMING, "o" + i, "z", followedHosts, UrgentReservation.ofPercent(reservedPercent)));
     }
     for (int i = 0; i < hostCount; i++) {
       long cpu = i % 3 == 2 ? 24_000 : 16_000;
@@ -408,13 +412,13 @@
    * @param loadFactor the load as a multiple of the usual one, which fills some two thirds of the
    *     room of eleven workers
    */
-  static PlayedLoad play(
+  static LoadSimulation play(
       long seed, int ownerCount, int hostCount, double loadFactor, long lengthMs) {
     return play(seed, ownerCount, hostCount, hostCount, loadFactor, lengthMs, Trouble.NONE);
   }
 
   /** Plays a load on owners that follow some of the hosts closely, with a trouble of workers. */
-  static PlayedLoad play(
+  static LoadSimulation play(
       long seed,
       int ownerCount,
       int hostCount,
@@ -427,7 +431,7 @@
   }
 
   /** Plays a mix of work. */
-  static PlayedLoad play(
+  static LoadSimulation play(
       long seed,
       Mix mix,
       int ownerCount,
@@ -436,14 +440,15 @@
       double loadFactor,
       long lengthMs,
       Trouble trouble) {
-    PlayedLoad load =
-        new PlayedLoad(seed, mix, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
+    LoadSimulation load =
+        new LoadSimulation(
+            seed, mix, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
     load.run(loadFactor, lengthMs);
     return load;
   }
 
   /** Plays a burst on top of a load on owners that keep room for urgent work. */
-  static PlayedLoad playReserved(
+  static LoadSimulation playReserved(
       long seed,
       int ownerCount,
       int hostCount,
@@ -452,8 +457,8 @@
       Burst burst,
       Trouble trouble,
       int reservedPercent) {
-    PlayedLoad load =
-        new PlayedLoad(
+    LoadSimulation load =
+        new LoadSimulation(
             seed,
             Mix.EVEN,
             ownerCount,
@@ -468,7 +473,7 @@
   }
 
   /** Plays a burst on top of a load, with a trouble of workers. */
-  static PlayedLoad playBurst(
+  static LoadSimulation playBurst(
       long seed,
       int ownerCount,
       int hostCount,
@@ -476,8 +481,8 @@
       double loadFactor,
       Burst burst,
       Trouble trouble) {
-    PlayedLoad load =
-        new PlayedLoad(
+    LoadSimulation load =
+        new LoadSimulation(
             seed, Mix.EVEN, ownerCount, hostCount, followedHosts, trouble, Unevenness.NONE);
     load.burst = burst;
     load.run(loadFactor * hostCount / 11, BURST_LENGTH_MS);
@@ -485,12 +490,13 @@
   }
 
   /** Plays a load on an uneven fleet whose owners get these shares of the callers. */
-  static PlayedLoad playUnequalOwners(
+  static LoadSimulation playUnequalOwners(
       long seed, List<Double> ownerShares, int hostCount, int followedHosts, double loadFactor) {
     Unevenness uneven = new Unevenness(List.of(0.6, 1.0, 1.6), 0.03, 0.55);
     int ownerCount = ownerShares.size();
-    PlayedLoad load =
-        new PlayedLoad(seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
+    LoadSimulation load =
+        new LoadSimulation(
+            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
     load.ownerShares = ownerShares;
     load.run(loadFactor * hostCount / 11, UNEVEN_LENGTH_MS);
     return load;
@@ -508,15 +514,16 @@
   }
 
   /** Plays a load on an uneven fleet. */
-  static PlayedLoad playUneven(
+  static LoadSimulation playUneven(
       long seed,
       int ownerCount,
       int hostCount,
       int followedHosts,
       double loadFactor,
       Unevenness uneven) {
-    PlayedLoad load =
-        new PlayedLoad(seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
+    LoadSimulation load =
+        new LoadSimulation(
+            seed, Mix.EVEN, ownerCount, hostCount, followedHosts, Trouble.NONE, uneven);
     load.run(loadFactor * hostCount / 11, UNEVEN_LENGTH_MS);
     return load;
   }
@@ -573,7 +580,7 @@
   private void run(double loadFactor, long lengthMs) {
     for (Host host : hosts.values()) {
       for (int owner = 0; owner < owners.size(); owner++) {
-        host.decisions.sessionBegan(owner, "o" + owner, nowMs);
+        host.decisions.sessionOpened(owner, "o" + owner, nowMs);
       }
       host.beat();
       host.tick();
@@ -674,12 +681,12 @@
   private void settle(int owner) {
     JobOwner jobs = owners.get(owner);
     jobs.place(nowMs);
-    for (OwnerEffect effect : jobs.takeEffects()) {
+    for (OwnerEffect effect : jobs.drainEffects()) {
       switch (effect) {
-        case OwnerEffect.ToHost to ->
+        case OwnerEffect.SendToHost to ->
             after(LINK_MS, () -> hosts.get(to.hostId()).take(owner, to.message()));
-        case OwnerEffect.Answer answer -> answered(callers.get(answer.jobId()), answer.end());
-        case OwnerEffect.Noted noted -> {}
+        case OwnerEffect.AnswerJob answer -> answered(callers.get(answer.jobId()), answer.end());
+        case OwnerEffect.LogDecision noted -> {}
       }
     }
   }
--- a/core/src/test/java/io/hingehoist/run/PlayedRuns.java
+++ b/core/src/test/java/io/hingehoist/run/RunSimulation.java
@@ -16,11 +16,11 @@
 import io.hingehoist.message.StartRuns;
 import io.hingehoist.message.StopRun;
 import io.hingehoist.message.WorkerCrashed;
-import io.hingehoist.run.host.HoldAnswer;
 import io.hingehoist.run.host.HostEffect;
-import io.hingehoist.run.host.KnownZones;
-import io.hingehoist.run.host.StartAnswer;
+import io.hingehoist.run.host.PollResult;
+import io.hingehoist.run.host.StartResult;
 import io.hingehoist.run.host.WorkerHost;
+import io.hingehoist.run.host.ZoneFixtures;
 import io.hingehoist.run.owner.JobOwner;
 import io.hingehoist.run.owner.OwnerEffect;
 import java.util.ArrayList;
@@ -37,10 +37,10 @@
  * that are carried out late, played by a seed. After each step it checks that no worker is over its
  * room and that no task runs twice at the same time.
  */
-final class PlayedRuns {
+final class RunSimulation {
   static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
   private static final long STEP_MS = 5;
-  private static final long BEAT_MS = 150;
+  private static final long HEARTBEAT_PERIOD_MS = 150;
   private static final long RESUBMIT_MS = 1_300;
   private static final long LATE_LIMIT_MS = 12_000;
   private static final long LEAST_SLOW_MS = 20;
@@ -80,16 +80,17 @@
 
     void settle() {
       jobs.place(nowMs);
-      for (OwnerEffect effect : jobs.takeEffects()) {
+      for (OwnerEffect effect : jobs.drainEffects()) {
         switch (effect) {
-          case OwnerEffect.ToHost to -> {
+          case OwnerEffect.SendToHost to -> {
             Session session = sessions.get(to.hostId());
             if (session != null) {
               session.toHost(to.message());
             }
           }
-          case OwnerEffect.Answer answer -> answered(this, answer.jobId(), answer.end());
-          case OwnerEffect.Noted noted -> trace.add(nowMs + " " + id + " " + noted.decision());
+          case OwnerEffect.AnswerJob answer -> answered(this, answer.jobId(), answer.end());
+          case OwnerEffect.LogDecision noted ->
+              trace.add(nowMs + " " + id + " " + noted.decision());
         }
       }
     }
@@ -99,7 +100,7 @@
     final String id;
     final long bornMs;
     WorkerHost host;
-    StandInWorker worker;
+    FakeWorker worker;
     final Map<Long, Session> sessions = new HashMap<>();
     long standsUntilMs;
     long version;
@@ -113,12 +114,14 @@
     HostBox(String id) {
       this.id = id;
       this.bornMs = nowMs;
-      this.worker = new StandInWorker(id + "-w1", id + ":1");
+      this.worker = new FakeWorker(id + "-w1", id + ":1");
       restart();
     }
 
     void restart() {
-      host = KnownZones.none(WorkerHost.create(id, nowMs, "z", TIMING, 1_000 + nowMs, nowMs));
+      host =
+          ZoneFixtures.noneEvacuated(
+              WorkerHost.create(id, nowMs, "z", TIMING, 1_000 + nowMs, nowMs));
       sessions.values().forEach(session -> session.breakNow());
       sessions.clear();
     }
@@ -128,8 +131,8 @@
     }
 
     void settle() {
-      host.showRows(nowMs);
-      for (HostEffect effect : host.takeEffects()) {
+      host.publishWorkers(nowMs);
+      for (HostEffect effect : host.drainEffects()) {
         carryOut(effect);
       }
     }
@@ -137,19 +140,19 @@
     private void carryOut(HostEffect effect) {
       WorkerHost caller = host;
       switch (effect) {
-        case HostEffect.CallStart call ->
+        case HostEffect.StartCall call ->
             callWorker(
                 call.workerId(),
-                call.patience(),
+                call.options(),
                 w -> start(w, call),
-                new StartAnswer.Unanswered(),
-                new StartAnswer.Gone(),
-                new StartAnswer.NobodyThere(),
-                a -> caller.startAnswered(call.workerId(), call.run(), a, nowMs));
-        case HostEffect.CallStop call ->
+                new StartResult.Unanswered(),
+                new StartResult.OtherInstance(),
+                new StartResult.ConnectionRefused(),
+                a -> caller.startCallCompleted(call.workerId(), call.run(), a, nowMs));
+        case HostEffect.StopCall call ->
             callWorker(
                 call.workerId(),
-                call.patience(),
+                call.options(),
                 w -> {
                   w.stop(call.run(), call.token(), nowMs);
                   return true;
@@ -157,9 +160,9 @@
                 false,
                 false,
                 false,
-                a -> caller.stopAnswered(call.workerId(), call.run(), a, nowMs));
-        case HostEffect.CallHold call -> hold(caller, call, nowMs + call.waitMs());
-        case HostEffect.ToOwner to -> {
+                a -> caller.stopCallCompleted(call.workerId(), call.run(), a, nowMs));
+        case HostEffect.PollCall call -> hold(caller, call, nowMs + call.waitMs());
+        case HostEffect.SendToOwner to -> {
           Session session = sessions.get(to.sessionId());
           if (session != null) {
             session.toOwner(to.message());
@@ -171,12 +174,12 @@
             session.closedByHost();
           }
         }
-        case HostEffect.ForgetAddress forget -> {}
-        case HostEffect.Noted noted -> trace.add(nowMs + " " + id + " " + noted.decision());
+        case HostEffect.CloseConnections forget -> {}
+        case HostEffect.LogDecision noted -> trace.add(nowMs + " " + id + " " + noted.decision());
       }
     }
 
-    private void hold(WorkerHost caller, HostEffect.CallHold call, long untilMs) {
+    private void hold(WorkerHost caller, HostEffect.PollCall call, long untilMs) {
       boolean waits =
           worker.up
               && worker.id.equals(call.workerId())
@@ -191,31 +194,31 @@
       }
       callWorker(
           call.workerId(),
-          call.patience(),
+          call.options(),
           w -> w.hold(call.deadlineMs(), call.token(), call.lastSeen(), nowMs),
-          new HoldAnswer.Unanswered(),
-          new HoldAnswer.Gone(),
-          new HoldAnswer.NobodyThere(),
-          a -> caller.holdAnswered(call.workerId(), a, nowMs));
+          new PollResult.Unanswered(),
+          new PollResult.OtherInstance(),
+          new PollResult.ConnectionRefused(),
+          a -> caller.pollCallCompleted(call.workerId(), a, nowMs));
     }
 
-    private StartAnswer start(StandInWorker target, HostEffect.CallStart call) {
+    private StartResult start(FakeWorker target, HostEffect.StartCall call) {
       if (nowMs < shedsUntilMs && slowness.nextBoolean()) {
-        return new StartAnswer.Refused(RunRefusal.UNHEALTHY);
+        return new StartResult.Refused(RunRefusal.UNHEALTHY);
       }
       return target.start(call.run(), NEED, runMs(), call.deadlineMs(), call.token(), nowMs);
     }
 
     private <A> void callWorker(
         String workerId,
-        HostEffect.Patience patience,
-        java.util.function.Function<StandInWorker, A> call,
+        HostEffect.CallOptions options,
+        java.util.function.Function<FakeWorker, A> call,
         A unanswered,
         A gone,
         A nobodyThere,
         java.util.function.Consumer<A> answer) {
       WorkerHost caller = host;
-      StandInWorker target = worker;
+      FakeWorker target = worker;
       if (!target.up) {
         reply(caller, 100, () -> answer.accept(dark ? unanswered : nobodyThere));
       } else if (nowMs < refusesUntilMs) {
@@ -233,7 +236,7 @@
             });
         reply(caller, 150, () -> answer.accept(unanswered));
       } else if (nowMs < slowUntilMs && slowness.nextBoolean()) {
-        callSlowly(target, patience, call, unanswered, answer);
+        callSlowly(target, options, call, unanswered, answer);
       } else {
         A result = call.apply(target);
         reply(caller, 1 + random.nextInt(3), () -> answer.accept(result));
@@ -242,14 +245,14 @@
 
     /** The call is carried out in any case, and answered if its host still waits by then. */
     private <A> void callSlowly(
-        StandInWorker target,
-        HostEffect.Patience patience,
-        java.util.function.Function<StandInWorker, A> call,
+        FakeWorker target,
+        HostEffect.CallOptions options,
+        java.util.function.Function<FakeWorker, A> call,
         A unanswered,
         java.util.function.Consumer<A> answer) {
       WorkerHost caller = host;
       long delayMs = LEAST_SLOW_MS + slowness.nextInt(SLOW_SPREAD_MS);
-      boolean awaited = delayMs < patience.timeoutMs();
+      boolean awaited = delayMs < options.timeoutMs();
       after(
           delayMs,
           () -> {
@@ -260,7 +263,7 @@
             }
           });
       if (!awaited) {
-        reply(caller, patience.timeoutMs(), () -> answer.accept(unanswered));
+        reply(caller, options.timeoutMs(), () -> answer.accept(unanswered));
       }
     }
 
@@ -323,8 +326,8 @@
         runsSinceMs = nowMs;
         carryToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
       }
-      openRuns.note(message);
-      ownerStream.noteSent(message);
+      openRuns.record(message);
+      ownerStream.recordSent(message);
       carryToHost(message);
     }
 
@@ -340,7 +343,7 @@
     }
 
     void toOwner(Message message) {
-      hostStream.noteSent(message);
+      hostStream.recordSent(message);
       carryToOwner(message);
     }
 
@@ -374,11 +377,11 @@
       if (!openAtHost || box.host != host || carrier != connection) {
         return;
       }
-      hostStream.noteReceived(message).ifPresent(this::carryToOwner);
+      hostStream.recordReceived(message).ifPresent(this::carryToOwner);
       switch (message) {
-        case SessionAck ack -> hostStream.acknowledged(ack.receivedCount());
-        case OwnerBeat beat -> host.ownerBeat(id, beat.sentAtMs(), beat.follows(), nowMs);
-        case OwnerWaiting news -> host.ownerWaiting(id, news, nowMs);
+        case SessionAck ack -> hostStream.recordAcknowledged(ack.receivedCount());
+        case OwnerBeat beat -> host.ownerHeartbeat(id, beat.sentAtMs(), beat.follows(), nowMs);
+        case OwnerWaiting news -> host.updateWaitingTasks(id, news, nowMs);
         case StartRuns order -> host.startRuns(id, order, nowMs);
         case StopRun order -> host.stopRun(id, order.run(), nowMs);
         case SessionProof proof -> host.sessionProven(id, proof.number(), proof.sentAtMs(), nowMs);
@@ -392,15 +395,15 @@
         return;
       }
       heardByOwnerMs = nowMs;
-      openRuns.note(message);
-      ownerStream.noteReceived(message).ifPresent(this::carryToHost);
+      openRuns.record(message);
+      ownerStream.recordReceived(message).ifPresent(this::carryToHost);
       switch (message) {
-        case SessionAck ack -> ownerStream.acknowledged(ack.receivedCount());
+        case SessionAck ack -> ownerStream.recordAcknowledged(ack.receivedCount());
         case SessionOpened opened ->
             owner.jobs.sessionOpened(
                 box.id, opened.zone(), opened.hostIncarnation(), opened.formerRunsOver());
         case SessionProbe probe -> toHost(new SessionProof(probe.number(), nowMs));
-        case HostRows rows -> owner.jobs.hostRows(box.id, rows, nowMs);
+        case HostRows rows -> owner.jobs.hostRowsReceived(box.id, rows, nowMs);
         case RunEnded ended -> owner.jobs.runEnded(box.id, ended, nowMs);
         case WorkerCrashed news -> owner.jobs.workerCrashed(news, nowMs);
         case RunNotStarted report -> owner.jobs.runNotStarted(box.id, report, nowMs);
@@ -442,11 +445,11 @@
       silent = false;
       suspendedAtMs = 0;
       heardByOwnerMs = nowMs;
-      ownerStream.acknowledged(hostStream.receivedCount());
-      hostStream.acknowledged(ownerStream.receivedCount());
+      ownerStream.recordAcknowledged(hostStream.receivedCount());
+      hostStream.recordAcknowledged(ownerStream.receivedCount());
       carryToHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
-      ownerStream.kept().forEach(this::carryToHost);
-      hostStream.kept().forEach(this::carryToOwner);
+      ownerStream.unacknowledged().forEach(this::carryToHost);
+      hostStream.unacknowledged().forEach(this::carryToOwner);
       owner.jobs.sessionResumed(box.id);
       owner.settle();
       host.sessionResumed(id, nowMs);
@@ -483,7 +486,9 @@
         }
       } else if (nowMs - silentSinceMs() >= sessionMs()) {
         loseAtOwner(true);
-      } else if (nowMs % (openRuns.isEmpty() ? RunTiming.IDLE_BEAT_MS : BEAT_MS) < 25) {
+      } else if (nowMs
+              % (openRuns.isEmpty() ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS : HEARTBEAT_PERIOD_MS)
+          < 25) {
         toHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
       }
     }
@@ -493,7 +498,7 @@
     }
 
     private long sessionMs() {
-      return openRuns.isEmpty() ? RunTiming.IDLE_SESSION_MS : TIMING.ownerLeaseMs();
+      return openRuns.isEmpty() ? RunTiming.IDLE_SESSION_TIMEOUT_MS : TIMING.ownerLeaseMs();
     }
 
     private void endAtHost() {
@@ -551,11 +556,11 @@
   long nowMs = 1;
 
   /** Creates a play whose connections break, but never fall silent while new ones work. */
-  PlayedRuns(long seed) {
+  RunSimulation(long seed) {
     this(seed, Set.of());
   }
 
-  PlayedRuns(long seed, Set<Trouble> troubles) {
+  RunSimulation(long seed, Set<Trouble> troubles) {
     this.random = new Random(seed);
     this.silences = new Random(~seed);
     this.slowness = new Random(31 * seed + 7);
@@ -746,7 +751,7 @@
     after(
         500 + random.nextInt(3_000),
         () -> {
-          box.worker = new StandInWorker(box.id + "-w" + nowMs, box.id + ":1");
+          box.worker = new FakeWorker(box.id + "-w" + nowMs, box.id + ":1");
         });
   }
 
@@ -754,7 +759,7 @@
   private void leave(OwnerBox owner) {
     for (CallersJob job : jobs.values()) {
       if (job.state.equals("open") && owners.get(job.ownerIndex) == owner && !owner.stands()) {
-        owner.jobs.abandon(job.plan.jobId(), "left");
+        owner.jobs.drop(job.plan.jobId(), "left");
         owner.settle();
         return;
       }
@@ -790,7 +795,7 @@
 
   private void tick(HostBox box) {
     if (box.worker.up && nowMs % 500 == 1) {
-      box.host.workerSeen(box.worker.info(false, ++box.version, nowMs), nowMs);
+      box.host.workerHeartbeat(box.worker.info(false, ++box.version, nowMs), nowMs);
     }
     for (OwnerBox owner : owners) {
       boolean cut = cuts.getOrDefault(owner.id + box.id, 0L) > nowMs;
@@ -812,7 +817,7 @@
     }
     owner.sessions.put(box.id, session);
     box.sessions.put(session.id, session);
-    box.host.sessionBegan(session.id, owner.id, nowMs);
+    box.host.sessionOpened(session.id, owner.id, nowMs);
     // An owner beats at once when a session begins.
     session.toHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
   }
@@ -820,7 +825,7 @@
   private void check() {
     Map<String, String> running = new HashMap<>();
     for (HostBox box : boxes) {
-      if (!Rooms.fits(box.worker.used(), StandInWorker.CAPACITY)) {
+      if (!Rooms.fits(box.worker.used(), FakeWorker.CAPACITY)) {
         throw new AssertionError(nowMs + " " + box.id + " is over its room: " + box.worker.used());
       }
       for (RunRef run : box.worker.runs.keySet()) {
@@ -845,7 +850,7 @@
 
   private String traceOf(String task) {
     return String.join(
-        "\n", trace.stream().filter(line -> line.contains(TaskNames.jobOf(task))).toList());
+        "\n", trace.stream().filter(line -> line.contains(TaskNames.jobIdOf(task))).toList());
   }
 
   /** Returns the jobs that have no answer. */
