--- a/core/src/main/java/io/hingehoist/settings/FieldSpecs.java
+++ b/core/src/main/java/io/hingehoist/settings/FieldSpecs.java
@@ -55,8 +55,8 @@
   public static String describeRange(FieldSpec spec) {
     return switch (spec.range()) {
       case "name" -> NAME_RANGE;
-      case "ip:port" -> "an IP number and a port from 1 to 65535, such as 127.0.0.1:7100";
-      case "http url" -> "an http URL with an IP number and a port";
+      case "ip:port" -> "an IP address and a port from 1 to 65535, such as 127.0.0.1:7100";
+      case "http url" -> "an http URL with an IP address and a port";
       case "path" -> "a path of a folder";
       default -> spec.range();
     };
