--- a/benchmark/src/main/java/io/hingehoist/bench/Arrival.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/Arrival.java
@@ -6,18 +6,18 @@
  * One thing that a caller sends.
  *
  * @param number its place in the plan
- * @param atNanos when it is meant to be sent, from the start of the load
+ * @param sendAtNanos when it is meant to be sent, from the start of the load
  * @param kind what it is
  * @param taskMs how long each of its tasks takes
  */
-record Arrival(int number, long atNanos, Kind kind, List<Integer> taskMs) {
+record Arrival(int number, long sendAtNanos, Kind kind, List<Integer> taskMs) {
 
   /** What a caller sends. */
   enum Kind {
     /** A request that may be repeated: the fast path. */
     REPEATABLE,
     /** A request that must not be repeated: the durable path. */
-    ONCE,
+    NON_REPEATABLE,
     /** A job of several tasks: the durable path. */
     JOB
   }
--- a/benchmark/src/main/java/io/hingehoist/bench/ArrivalPlan.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/ArrivalPlan.java
@@ -42,16 +42,18 @@
   }
 
   private static Arrival arrival(int number, double atSeconds, Random random) {
-    int dice = random.nextInt(100);
+    int percentile = random.nextInt(100);
     Arrival.Kind kind =
-        dice < 60 ? Arrival.Kind.REPEATABLE : dice < 85 ? Arrival.Kind.ONCE : Arrival.Kind.JOB;
+        percentile < 60
+            ? Arrival.Kind.REPEATABLE
+            : percentile < 85 ? Arrival.Kind.NON_REPEATABLE : Arrival.Kind.JOB;
     int tasks = kind == Arrival.Kind.JOB ? JOB_TASKS : 1;
     List<Integer> taskMs = new ArrayList<>();
     for (int i = 0; i < tasks; i++) {
       taskMs.add(taskMs(random));
     }
-    long atNanos = (long) (atSeconds * TimeUnit.SECONDS.toNanos(1));
-    return new Arrival(number, atNanos, kind, taskMs);
+    long sendAtNanos = (long) (atSeconds * TimeUnit.SECONDS.toNanos(1));
+    return new Arrival(number, sendAtNanos, kind, taskMs);
   }
 
   /** Most tasks take 50 ms to a second, one in two hundred takes three seconds. */
@@ -59,8 +61,8 @@
     if (random.nextInt(200) == 0) {
       return STRAGGLER_MS;
     }
-    double drawn = MIN_TASK_MS - 150 * Math.log(1 - random.nextDouble());
-    return (int) Math.min(MAX_TASK_MS, drawn);
+    double sampleMs = MIN_TASK_MS - 150 * Math.log(1 - random.nextDouble());
+    return (int) Math.min(MAX_TASK_MS, sampleMs);
   }
 
   private static double meanTaskMs() {
--- a/benchmark/src/main/java/io/hingehoist/bench/Bench.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/Bench.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.Parameter;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import io.hingehoist.cluster.ClusterShape;
+import io.hingehoist.cluster.ClusterSpec;
 import io.hingehoist.cluster.LocalCluster;
 import io.hingehoist.cluster.ProcessUsage;
 import java.io.IOException;
@@ -74,8 +74,8 @@
 
   private int run() throws Exception {
     Path folder = Files.createTempDirectory("hingehoist-bench");
-    ClusterShape shape = ClusterShape.of(3, AGENTS, "porting", SLOTS);
-    try (LocalCluster started = LocalCluster.create(folder, shape)) {
+    ClusterSpec spec = ClusterSpec.of(3, AGENTS, "porting", SLOTS);
+    try (LocalCluster started = LocalCluster.create(folder, spec)) {
       cluster = started;
       cluster.relays().forEach(relay -> relay.setDelayNanos(ZONE_DELAY_NANOS));
       cluster.setCallerDelayNanos(CALLER_DELAY_NANOS);
@@ -95,10 +95,10 @@
         direct.getValueAtPercentile(50) / 1e3, direct.getValueAtPercentile(99) / 1e3);
     System.out.println(BenchRow.header());
     List<Double> levels = quick ? List.of(0.7, 1.3) : List.of(0.3, 0.7, 0.95, 1.3);
-    for (String each : POLICIES) {
-      setPolicy(each);
+    for (String policyName : POLICIES) {
+      setPolicy(policyName);
       for (double level : levels) {
-        load(each + " " + Math.round(level * 100) + "%", level, 1, quick ? 10 : 25, "");
+        load(policyName + " " + Math.round(level * 100) + "%", level, 1, quick ? 10 : 25, "");
       }
     }
     runFaults();
@@ -108,20 +108,20 @@
     setPolicy(policy);
     long seconds = quick ? 10 : 20;
     load(policy + " burst", 0.5, 5, quick ? 10 : 25, "");
-    cluster.backend("agent-2").setSlowness(10);
+    cluster.backend("agent-2").setSlowdownFactor(10);
     load(policy + " slow worker", 0.7, 1, seconds, "");
-    cluster.backend("agent-2").setSlowness(1);
+    cluster.backend("agent-2").setSlowdownFactor(1);
     loadWithKill("agent killed", "agent-3", seconds);
     loadWithKill("entry killed", "server-3", seconds);
   }
 
-  private boolean isWanted(String name) {
+  private boolean isSelected(String name) {
     return name.contains(only);
   }
 
   private void load(String name, double level, double burst, long seconds, String note)
       throws IOException {
-    if (!isWanted(name) && !name.equals("warm-up")) {
+    if (!isSelected(name) && !name.equals("warm-up")) {
       return;
     }
     List<Arrival> plan = ArrivalPlan.create(AGENTS * SLOTS, level, burst, seconds, 42);
@@ -164,7 +164,7 @@
 
   private void loadWithKill(String name, String victim, long seconds) throws IOException {
     String fullName = policy + " " + name;
-    if (!isWanted(fullName)) {
+    if (!isSelected(fullName)) {
       return;
     }
     long killAtMs = seconds * 400;
--- a/benchmark/src/main/java/io/hingehoist/bench/BenchReport.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/BenchReport.java
@@ -10,7 +10,7 @@
 
 /** Writes the figures of a run, and compares them with bounds. */
 final class BenchReport {
-  private static final int OVER_BOUND = 1;
+  private static final int BOUND_EXCEEDED_EXIT_CODE = 1;
 
   private final List<BenchRow> rows;
 
@@ -52,7 +52,7 @@
           ratio,
           bound.path("comparedWith").asText(),
           bound.path("atMost").asDouble());
-      code = within ? code : OVER_BOUND;
+      code = within ? code : BOUND_EXCEEDED_EXIT_CODE;
     }
     return code;
   }
@@ -78,13 +78,13 @@
   }
 
   private void addChart(StringBuilder page, String title, ToDoubleFunction<BenchRow> figure) {
-    double most = rows.stream().mapToDouble(figure).max().orElse(1);
+    double max = rows.stream().mapToDouble(figure).max().orElse(1);
     page.append("<h2>").append(title).append("</h2><table>");
     for (BenchRow row : rows) {
       double value = figure.applyAsDouble(row);
       page.append(
           "<tr><td>%s<td>%.3f<td><div class=\"b\" style=\"width:%.0fpx\"></div>"
-              .formatted(row.name(), value, 500 * Math.max(0, value) / Math.max(most, 1e-9)));
+              .formatted(row.name(), value, 500 * Math.max(0, value) / Math.max(max, 1e-9)));
     }
     page.append("</table>");
   }
--- a/benchmark/src/main/java/io/hingehoist/bench/BenchRow.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/BenchRow.java
@@ -28,7 +28,7 @@
     String note) {
 
   /** How long a load runs before its throughput counts: the first tasks have to end. */
-  private static final long SETTLING_MS = 2_000;
+  private static final long RAMP_UP_MS = 2_000;
 
   private static final Set<String> EXTRA_TYPES =
       Set.of("RetireJobs", "RevokeTask", "RunRefused", "TaskNotStarted", "FenceJob", "FenceReport");
@@ -39,14 +39,14 @@
         result.gapMs(Arrival.Kind.REPEATABLE, 50),
         result.gapMs(Arrival.Kind.REPEATABLE, 99),
         result.gapMs(Arrival.Kind.REPEATABLE, 99.9),
-        result.gapMs(Arrival.Kind.ONCE, 50),
-        result.gapMs(Arrival.Kind.ONCE, 99),
+        result.gapMs(Arrival.Kind.NON_REPEATABLE, 50),
+        result.gapMs(Arrival.Kind.NON_REPEATABLE, 99),
         result.gapMs(Arrival.Kind.JOB, 50),
         result.gapMs(Arrival.Kind.JOB, 99),
         result.messagesPerTask(),
         result.wastedPerTask(),
         result.bytesPerTask(),
-        result.tasksPerSecond(SETTLING_MS, (long) (1_000 * seconds)),
+        result.tasksPerSecond(RAMP_UP_MS, (long) (1_000 * seconds)),
         result.lateAnswers(),
         result.outcomes(),
         result.messages().sent(),
--- a/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
@@ -48,7 +48,7 @@
     List<CompletableFuture<Void>> answers = new ArrayList<>();
     long startNanos = System.nanoTime();
     for (Arrival arrival : plan) {
-      parkUntil(startNanos + arrival.atNanos());
+      parkUntil(startNanos + arrival.sendAtNanos());
       answers.add(send(arrival, arrival.number(), startNanos, result));
     }
     CompletableFuture.allOf(answers.toArray(new CompletableFuture<?>[0])).join();
@@ -56,23 +56,23 @@
     return result;
   }
 
-  private static void parkUntil(long nanos) {
-    long left = nanos - System.nanoTime();
-    while (left > 0) {
-      LockSupport.parkNanos(left);
-      left = nanos - System.nanoTime();
+  private static void parkUntil(long deadlineNanos) {
+    long remainingNanos = deadlineNanos - System.nanoTime();
+    while (remainingNanos > 0) {
+      LockSupport.parkNanos(remainingNanos);
+      remainingNanos = deadlineNanos - System.nanoTime();
     }
   }
 
   /** As a balancer does, sends to the next server what finds no connection. */
   private CompletableFuture<Void> send(
-      Arrival arrival, int turn, long startNanos, LoadResult result) {
-    int server = turn % cluster.shape().servers() + 1;
+      Arrival arrival, int attempt, long startNanos, LoadResult result) {
+    int server = attempt % cluster.spec().servers() + 1;
     String path = arrival.kind() == Arrival.Kind.JOB ? "/v1/jobs" : "/v1/requests";
     URI uri = URI.create("http://" + cluster.callerAddress(server) + path);
     long sentWallMs =
         System.currentTimeMillis()
-            - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos - arrival.atNanos());
+            - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos - arrival.sendAtNanos());
     HttpRequest request =
         HttpRequest.newBuilder(uri)
             .timeout(Duration.ofMillis(4 * DEADLINE_MS))
@@ -83,24 +83,24 @@
         .handle(
             (response, failure) -> {
               boolean mayResend =
-                  failure != null && turn < arrival.number() + cluster.shape().servers();
+                  failure != null && attempt < arrival.number() + cluster.spec().servers();
               if (mayResend) {
-                return send(arrival, turn + 1, startNanos, result);
+                return send(arrival, attempt + 1, startNanos, result);
               }
               String outcome = failure != null ? "broken" : outcomeOf(response.body());
-              note(arrival, outcome, startNanos, result);
+              recordAnswer(arrival, outcome, startNanos, result);
               return CompletableFuture.<Void>completedFuture(null);
             })
         .thenCompose(next -> next);
   }
 
-  private void note(Arrival arrival, String outcome, long startNanos, LoadResult result) {
-    long sinceStart = System.nanoTime() - startNanos;
-    long tookMicros = TimeUnit.NANOSECONDS.toMicros(sinceStart - arrival.atNanos());
+  private void recordAnswer(Arrival arrival, String outcome, long startNanos, LoadResult result) {
+    long sinceStartNanos = System.nanoTime() - startNanos;
+    long responseMicros = TimeUnit.NANOSECONDS.toMicros(sinceStartNanos - arrival.sendAtNanos());
     long idealMicros = (long) (1_000 * (arrival.idealMs() + networkMs));
-    boolean late = tookMicros > 1_000 * (DEADLINE_MS + LATE_MARGIN_MS + networkMs);
-    long endMs = TimeUnit.NANOSECONDS.toMillis(sinceStart);
-    result.note(arrival, outcome, endMs, tookMicros - idealMicros, late);
+    boolean late = responseMicros > 1_000 * (DEADLINE_MS + LATE_MARGIN_MS + networkMs);
+    long endMs = TimeUnit.NANOSECONDS.toMillis(sinceStartNanos);
+    result.recordAnswer(arrival, outcome, endMs, responseMicros - idealMicros, late);
   }
 
   private static String outcomeOf(String body) {
--- a/benchmark/src/main/java/io/hingehoist/bench/LoadResult.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/LoadResult.java
@@ -24,13 +24,13 @@
     }
   }
 
-  synchronized void note(
-      Arrival arrival, String outcome, long endMs, long gapInMicros, boolean late) {
+  synchronized void recordAnswer(
+      Arrival arrival, String outcome, long endMs, long answerGapMicros, boolean late) {
     outcomes.merge(outcome, 1, Integer::sum);
     lateAnswers += late ? 1 : 0;
     lastEndMs = Math.max(lastEndMs, endMs);
     if (outcome.equals("complete")) {
-      gapMicros.get(arrival.kind()).recordValue(Math.max(0, gapInMicros));
+      gapMicros.get(arrival.kind()).recordValue(Math.max(0, answerGapMicros));
       completedTasks += arrival.taskMs().size();
       completedTasksByBucket.merge(endMs / BUCKET_MS, arrival.taskMs().size(), Integer::sum);
     }
--- a/benchmark/src/main/java/io/hingehoist/cluster/ClusterShape.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/ClusterSpec.java
@@ -12,7 +12,7 @@
  * @param controlSettings values that differ from the defaults of the control section
  * @param serverFlags more flags of the virtual machines of servers
  */
-public record ClusterShape(
+public record ClusterSpec(
     int servers,
     int agents,
     String service,
@@ -21,25 +21,25 @@
     String serverFlags) {
 
   /** Copies the settings. */
-  public ClusterShape {
+  public ClusterSpec {
     controlSettings = Map.copyOf(controlSettings);
   }
 
   /** Returns a shape with the default settings. */
-  public static ClusterShape of(int servers, int agents, String service, int slots) {
-    return new ClusterShape(servers, agents, service, slots, Map.of(), "");
+  public static ClusterSpec of(int servers, int agents, String service, int slots) {
+    return new ClusterSpec(servers, agents, service, slots, Map.of(), "");
   }
 
   /** Returns this shape for processes that live too short to be worth optimizing. */
-  public ClusterShape shortLived() {
-    return new ClusterShape(
+  public ClusterSpec withC1CompilerOnly() {
+    return new ClusterSpec(
         servers, agents, service, slots, controlSettings, "-XX:TieredStopAtLevel=1");
   }
 
   /** Returns this shape with one more value of the control section. */
-  public ClusterShape withControl(String field, String value) {
+  public ClusterSpec withControl(String field, String value) {
     Map<String, String> settings = new java.util.HashMap<>(controlSettings);
     settings.put(field, value);
-    return new ClusterShape(servers, agents, service, slots, settings, serverFlags);
+    return new ClusterSpec(servers, agents, service, slots, settings, serverFlags);
   }
 }
--- a/benchmark/src/main/java/io/hingehoist/cluster/Launch.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/DaemonLauncher.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /** Static helpers that start the daemon as an operator does, by its launcher. */
-public final class Launch {
+public final class DaemonLauncher {
   private static final Path LAUNCHER = Path.of("bin", "hingehoistd");
 
-  private Launch() {}
+  private DaemonLauncher() {}
 
   /** Returns how an action of the daemon is started on a settings file. */
   public static ProcessBuilder builder(String flags, String action, Path settingsFile) {
--- a/benchmark/src/main/java/io/hingehoist/cluster/LocalCluster.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/LocalCluster.java
@@ -38,7 +38,7 @@
   private static final Duration HTTP_TIMEOUT = Duration.ofSeconds(5);
 
   private final Path folder;
-  private final ClusterShape shape;
+  private final ClusterSpec spec;
   private final LoopbackNetwork network;
   private final Map<String, NodeProcess> processes = new LinkedHashMap<>();
   private final Map<String, Relay> relays = new LinkedHashMap<>();
@@ -46,20 +46,20 @@
   private final Map<String, StandInBackend> backends = new LinkedHashMap<>();
   private final HttpClient http = HttpClient.newBuilder().connectTimeout(HTTP_TIMEOUT).build();
 
-  private LocalCluster(Path folder, ClusterShape shape) throws IOException {
+  private LocalCluster(Path folder, ClusterSpec spec) throws IOException {
     this.folder = folder;
-    this.shape = shape;
+    this.spec = spec;
     this.network = LoopbackNetwork.reserve();
   }
 
   /** Writes the settings files of a cluster, and opens relays and backend servers. */
-  public static LocalCluster create(Path folder, ClusterShape shape) throws IOException {
-    LocalCluster cluster = new LocalCluster(folder, shape);
+  public static LocalCluster create(Path folder, ClusterSpec spec) throws IOException {
+    LocalCluster cluster = new LocalCluster(folder, spec);
     Files.createDirectories(folder);
-    for (int i = 1; i <= shape.servers(); i++) {
+    for (int i = 1; i <= spec.servers(); i++) {
       cluster.addServer(i);
     }
-    for (int i = 1; i <= shape.agents(); i++) {
+    for (int i = 1; i <= spec.agents(); i++) {
       cluster.addAgent(i);
     }
     return cluster;
@@ -75,7 +75,7 @@
 
   private String controlAddresses() {
     List<String> addresses = new ArrayList<>();
-    for (int i = 1; i <= shape.servers(); i++) {
+    for (int i = 1; i <= spec.servers(); i++) {
       addresses.add(serverIp(i) + ":" + CONTROL_PORT);
     }
     return String.join(", ", addresses);
@@ -85,7 +85,7 @@
     String name = "server-" + i;
     Path home = Files.createDirectories(folder.resolve(name));
     String extra =
-        shape.controlSettings().entrySet().stream()
+        spec.controlSettings().entrySet().stream()
             .map(e -> "  " + e.getKey() + ": " + e.getValue() + "\n")
             .collect(Collectors.joining());
     Files.writeString(
@@ -117,7 +117,7 @@
                 HTTP_PORT));
     relays.put(name, Relay.open(serverIp(i), CONTROL_PORT, serverIp(i), CONTROL_BIND_PORT));
     callerRelays.put(name, Relay.open(serverIp(i), CALLER_PORT, serverIp(i), HTTP_PORT));
-    processes.put(name, process(name, home, shape.serverFlags()));
+    processes.put(name, process(name, home, spec.serverFlags()));
   }
 
   private void addAgent(int i) throws IOException {
@@ -141,16 +141,16 @@
         """
             .formatted(
                 name,
-                (i - 1) % Math.max(1, shape.servers()) + 1,
+                (i - 1) % Math.max(1, spec.servers()) + 1,
                 controlAddresses(),
                 agentIp(i),
                 AGENT_PORT,
                 agentIp(i),
                 AGENT_BIND_PORT,
-                shape.service(),
+                spec.service(),
                 agentIp(i),
                 BACKEND_PORT,
-                shape.slots(),
+                spec.slots(),
                 agentIp(i),
                 METRICS_PORT));
     relays.put(name, Relay.open(agentIp(i), AGENT_PORT, agentIp(i), AGENT_BIND_PORT));
@@ -160,7 +160,7 @@
   }
 
   private NodeProcess process(String name, Path home, String flags) {
-    return NodeProcess.create(name, home, Launch.builder(flags, "run", settingsFile(name)));
+    return NodeProcess.create(name, home, DaemonLauncher.builder(flags, "run", settingsFile(name)));
   }
 
   /** Returns the settings file of a process. */
@@ -174,9 +174,9 @@
         NodeProcess.create(
             "found",
             folder.resolve("server-1"),
-            Launch.builder("", "found", settingsFile("server-1")));
+            DaemonLauncher.builder("", "found", settingsFile("server-1")));
     founding.start();
-    if (founding.awaitEnd() != 0) {
+    if (founding.awaitExit() != 0) {
       throw new IOException("founding failed: " + founding.output());
     }
     for (NodeProcess process : processes.values()) {
@@ -187,7 +187,7 @@
 
   /** Waits until every replica votes, every entry has a lease and every agent takes work. */
   public void awaitReady() {
-    for (int i = 1; i <= shape.servers(); i++) {
+    for (int i = 1; i <= spec.servers(); i++) {
       String address = httpAddress(i);
       await("server-" + i + " is ready", () -> status(address, "/health/ready") == 200);
     }
@@ -195,14 +195,14 @@
         "every replica votes",
         () ->
             body(httpAddress(1), "/v1/reports/status").split("\"voter\":true").length - 1
-                >= shape.servers());
-    for (int i = 1; i <= shape.servers(); i++) {
+                >= spec.servers());
+    for (int i = 1; i <= spec.servers(); i++) {
       String address = httpAddress(i);
       await(
           "every agent takes work from server-" + i,
           () ->
               body(address, "/metrics")
-                  .contains("hingehoist_usable_workers " + (double) shape.agents()));
+                  .contains("hingehoist_usable_workers " + (double) spec.agents()));
     }
   }
 
@@ -308,12 +308,12 @@
   }
 
   /** Returns the shape. */
-  public ClusterShape shape() {
-    return shape;
+  public ClusterSpec spec() {
+    return spec;
   }
 
   /** Returns every start that the backend servers logged, as lines. */
-  public List<String> startLines() throws IOException {
+  public List<String> startLogLines() throws IOException {
     List<String> lines = new ArrayList<>();
     for (String agent : backends.keySet()) {
       Path log = folder.resolve(agent).resolve("starts.log");
--- a/benchmark/src/main/java/io/hingehoist/cluster/MessageCounts.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/MessageCounts.java
@@ -36,10 +36,10 @@
   public static MessageCounts of(LocalCluster cluster) {
     Map<String, Long> sent = new TreeMap<>();
     Map<String, Long> bytes = new TreeMap<>();
-    for (int i = 1; i <= cluster.shape().servers(); i++) {
+    for (int i = 1; i <= cluster.spec().servers(); i++) {
       add(cluster.body(cluster.httpAddress(i), "/metrics"), sent, bytes);
     }
-    for (int i = 1; i <= cluster.shape().agents(); i++) {
+    for (int i = 1; i <= cluster.spec().agents(); i++) {
       add(cluster.body(cluster.metricsAddress(i), "/metrics"), sent, bytes);
     }
     return new MessageCounts(sent, bytes);
--- a/benchmark/src/main/java/io/hingehoist/cluster/NodeProcess.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/NodeProcess.java
@@ -52,7 +52,7 @@
   /** Kills the process at once, and waits until it is gone. */
   public void kill() {
     process.destroyForcibly();
-    awaitEnd();
+    awaitExit();
   }
 
   /** Kills the process as {@link #kill} does, unless it has ended or was never started. */
@@ -79,15 +79,15 @@
 
   private void signal(String signal) throws IOException {
     Process kill = new ProcessBuilder("kill", signal, String.valueOf(process.pid())).start();
-    awaitExit(kill);
+    waitForExit(kill);
   }
 
   /** Waits until the process has ended and returns its exit code. */
-  public int awaitEnd() {
-    return awaitExit(process);
+  public int awaitExit() {
+    return waitForExit(process);
   }
 
-  private static int awaitExit(Process process) {
+  private static int waitForExit(Process process) {
     try {
       if (!process.waitFor(90, TimeUnit.SECONDS)) {
         throw new IllegalStateException("process " + process.pid() + " does not end");
@@ -100,7 +100,7 @@
   }
 
   /** Removes the data folder of an ended process, as a lost disk would. */
-  public void wipeData() throws IOException {
+  public void deleteData() throws IOException {
     if (isRunning()) {
       throw new IllegalStateException(name + " runs");
     }
--- a/benchmark/src/main/java/io/hingehoist/demo/Demo.java
+++ b/benchmark/src/main/java/io/hingehoist/demo/Demo.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.hingehoist.cluster.ClusterShape;
+import io.hingehoist.cluster.ClusterSpec;
 import io.hingehoist.cluster.LocalCluster;
 import io.hingehoist.cluster.MessageCounts;
 import java.io.IOException;
@@ -22,7 +22,7 @@
   private static final int SLOTS = 8;
   private static final int TASK_MS = 100;
   private static final int MINT_MS = 50;
-  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final LocalCluster cluster;
   private final HttpClient http = HttpClient.newHttpClient();
@@ -36,7 +36,7 @@
     Path folder = Files.createTempDirectory("hingehoist-demo");
     System.out.println("starting 3 servers and 3 agents; their logs are in " + folder);
     try (LocalCluster cluster =
-        LocalCluster.create(folder, ClusterShape.of(3, AGENTS, "porting", SLOTS))) {
+        LocalCluster.create(folder, ClusterSpec.of(3, AGENTS, "porting", SLOTS))) {
       cluster.start();
       new Demo(cluster).run(Files.readAllLines(Path.of(args[0])));
     }
@@ -61,7 +61,7 @@
   }
 
   private void applySetting(String[] words, int number) throws IOException {
-    ObjectNode change = JSON.createObjectNode();
+    ObjectNode change = MAPPER.createObjectNode();
     change.put("changeId", "demo-" + number);
     change.put("baseRevision", number);
     change.put("path", words[0]);
@@ -103,13 +103,13 @@
     System.out.println("the same mint at another entry: " + again);
     check(again.equals(answer), again);
     long starts =
-        cluster.startLines().stream().filter(line -> line.contains("credential-for")).count();
+        cluster.startLogLines().stream().filter(line -> line.contains("credential-for")).count();
     check(starts == 1, again);
     return tookMs;
   }
 
   private static ObjectNode submission(String caller, String id) {
-    ObjectNode body = JSON.createObjectNode();
+    ObjectNode body = MAPPER.createObjectNode();
     body.put("caller", caller);
     body.put("submissionId", id);
     body.put("submittedAtMs", System.currentTimeMillis());
@@ -125,7 +125,7 @@
             .POST(HttpRequest.BodyPublishers.ofString(body.toString()))
             .build();
     try {
-      return JSON.readTree(http.send(request, HttpResponse.BodyHandlers.ofString()).body());
+      return MAPPER.readTree(http.send(request, HttpResponse.BodyHandlers.ofString()).body());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/benchmark/src/main/java/io/hingehoist/microbench/DecisionBenchmark.java
+++ b/benchmark/src/main/java/io/hingehoist/microbench/DecisionBenchmark.java
@@ -60,7 +60,7 @@
 
   /** Fills workers, settings and state. */
   @Setup
-  public void fill() {
+  public void setUp() {
     for (int i = 0; i < workers; i++) {
       AgentInfo info =
           new AgentInfo("w" + i, 1, "127.0.0.1:1", "z", "porting", 8, 64, MemberState.LIVE);
--- a/benchmark/src/main/java/io/hingehoist/standin/Relay.java
+++ b/benchmark/src/main/java/io/hingehoist/standin/Relay.java
@@ -28,7 +28,7 @@
     /** From the side that opened the connection. */
     FORWARD,
     /** Back to it. */
-    BACK
+    BACKWARD
   }
 
   private record Piece(byte[] bytes, long dueNanos) {}
@@ -53,7 +53,7 @@
   private Optional<Listener> listener = Optional.empty();
 
   // Guarded by this.
-  private int refusals;
+  private int refusalCount;
 
   private Relay(InetSocketAddress address, InetSocketAddress target) {
     this.address = address;
@@ -103,27 +103,28 @@
   /** Cuts both directions of all connections. */
   public void cutAll() {
     cuts.add(new Cut(ANY, Direction.FORWARD));
-    cuts.add(new Cut(ANY, Direction.BACK));
+    cuts.add(new Cut(ANY, Direction.BACKWARD));
   }
 
   /**
-   * Refuses new connections until {@link #admit} was called as often as this; open ones go on.
+   * Refuses new connections until {@link #acceptConnections} was called as often as this; open ones
+   * go on.
    *
    * @throws IOException if the listening socket can't be closed
    */
-  public synchronized void refuse() throws IOException {
-    refusals++;
+  public synchronized void refuseConnections() throws IOException {
+    refusalCount++;
     stopListening();
   }
 
   /**
-   * Ends one call of {@link #refuse}.
+   * Ends one call of {@link #refuseConnections}.
    *
    * @throws IOException if the address can't be opened again
    */
-  public synchronized void admit() throws IOException {
-    refusals--;
-    if (refusals == 0 && !closed) {
+  public synchronized void acceptConnections() throws IOException {
+    refusalCount--;
+    if (refusalCount == 0 && !closed) {
       listen();
     }
   }
@@ -134,7 +135,7 @@
   }
 
   /** Resets every connection that passes, on both sides. */
-  public void resetAll() {
+  public void resetConnections() {
     for (Socket socket : List.copyOf(sockets)) {
       try {
         // With no time to linger, closing sends a reset.
@@ -150,7 +151,7 @@
    * Lets every connection that passes now fall silent for good: nothing arrives on it any more, and
    * neither side hears that the other closes it. Connections that come later pass.
    */
-  public void silenceAll() {
+  public void blackholeConnections() {
     silent.addAll(sockets);
   }
 
@@ -180,7 +181,7 @@
       waitWhileCut(source, Direction.FORWARD);
       far.connect(target);
       carry(near, far, source, Direction.FORWARD);
-      carry(far, near, source, Direction.BACK);
+      carry(far, near, source, Direction.BACKWARD);
     } catch (IOException e) {
       close(near, far);
     }
--- a/benchmark/src/main/java/io/hingehoist/standin/StandInBackend.java
+++ b/benchmark/src/main/java/io/hingehoist/standin/StandInBackend.java
@@ -27,9 +27,9 @@
   private final FileChannel log;
   private final String name;
   private final AtomicInteger running = new AtomicInteger();
-  private final AtomicInteger mostRunning = new AtomicInteger();
-  private final Queue<String> endedPayloads = new ConcurrentLinkedQueue<>();
-  private volatile double slowness = 1;
+  private final AtomicInteger maxConcurrentTasks = new AtomicInteger();
+  private final Queue<String> answeredPayloads = new ConcurrentLinkedQueue<>();
+  private volatile double slowdownFactor = 1;
 
   private StandInBackend(HttpServer server, FileChannel log, String name) {
     this.server = server;
@@ -52,35 +52,36 @@
   }
 
   /** Makes every task take this many times as long. */
-  public void setSlowness(double factor) {
-    slowness = factor;
+  public void setSlowdownFactor(double factor) {
+    slowdownFactor = factor;
   }
 
   /** Returns the number of answers sent to payloads that name a job. */
-  public long ended(String job) {
-    return endedPayloads.stream().filter(payload -> payload.contains(" " + job + "/")).count();
+  public long answeredCount(String job) {
+    return answeredPayloads.stream().filter(payload -> payload.contains(" " + job + "/")).count();
   }
 
   /** Returns the most tasks that ran at once. */
-  public int mostRunning() {
-    return mostRunning.get();
+  public int maxConcurrentTasks() {
+    return maxConcurrentTasks.get();
   }
 
   private void serve(HttpExchange exchange) throws IOException {
     String payload = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
     int now = running.incrementAndGet();
-    mostRunning.accumulateAndGet(now, Math::max);
+    maxConcurrentTasks.accumulateAndGet(now, Math::max);
     String task = exchange.getRequestHeaders().getFirst("Hingehoist-Task");
     writeLog(task, payload);
     int status = payload.startsWith("fail") ? 500 : 200;
-    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos((long) (slowness * millisOf(payload))));
+    LockSupport.parkNanos(
+        TimeUnit.MILLISECONDS.toNanos((long) (slowdownFactor * millisOf(payload))));
     byte[] body = ("done " + restOf(payload)).getBytes(StandardCharsets.UTF_8);
     running.decrementAndGet();
     exchange.getResponseHeaders().set("Content-Type", "text/plain; charset=utf-8");
     exchange.sendResponseHeaders(status, body.length);
     exchange.getResponseBody().write(body);
     exchange.close();
-    endedPayloads.add(payload);
+    answeredPayloads.add(payload);
   }
 
   private synchronized void writeLog(String task, String payload) throws IOException {
--- a/benchmark/src/test/java/io/hingehoist/standin/RelayTest.java
+++ b/benchmark/src/test/java/io/hingehoist/standin/RelayTest.java
@@ -41,7 +41,7 @@
   public void refusesNewConnectionsWhileOpenOnesGoOn() throws IOException {
     try (Socket near = new Socket(ip, PORT);
         Socket far = target.accept()) {
-      relay.refuse();
+      relay.refuseConnections();
       assertRefuses();
       near.getOutputStream().write(7);
       assertEquals(far.getInputStream().read(), 7);
@@ -50,11 +50,11 @@
 
   @Test
   public void admitsOnceEveryRefusalIsOver() throws IOException {
-    relay.refuse();
-    relay.refuse();
-    relay.admit();
+    relay.refuseConnections();
+    relay.refuseConnections();
+    relay.acceptConnections();
     assertRefuses();
-    relay.admit();
+    relay.acceptConnections();
     try (Socket near = new Socket(ip, PORT);
         Socket far = target.accept()) {
       near.getOutputStream().write(7);
--- a/scenarios/src/test/java/io/hingehoist/scenario/Answered.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/Answered.java
@@ -15,14 +15,14 @@
   }
 
   /** Returns whether nothing ran because the entry had no lease just then. */
-  boolean lacksLease() {
+  boolean isRefusedForMissingLease() {
     String cause = body.path("cause").asText();
     return outcome().equals("refused") && List.of("NO_LEASE", "ENTRY_NOT_LIVE").contains(cause);
   }
 
   /** Returns whether a caller is to come back under the same id. */
-  boolean asksToComeBack() {
-    return lacksLease() || outcome().equals("unknown");
+  boolean shouldRetry() {
+    return isRefusedForMissingLease() || outcome().equals("unknown");
   }
 
   boolean isFinal() {
--- a/scenarios/src/test/java/io/hingehoist/scenario/BadInputSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/BadInputSteps.java
@@ -19,13 +19,12 @@
 
 /** Steps about input that must be refused. */
 public final class BadInputSteps {
-  private static final List<String> INTERNAL =
-      List.of("server-1", "server-2", "server-3", "agent-1");
-  private final Deployment deployment = Deployments.current();
+  private static final List<String> NODES = List.of("server-1", "server-2", "server-3", "agent-1");
+  private final ScenarioContext context = CurrentScenario.current();
 
   private HttpResponse<String> post(String path, String body) throws Exception {
-    URI uri = URI.create("http://" + deployment.cluster.httpAddress(1) + path);
-    return deployment.http.send(
+    URI uri = URI.create("http://" + context.cluster.httpAddress(1) + path);
+    return context.http.send(
         HttpRequest.newBuilder(uri)
             .header("Content-Type", "application/json")
             .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -37,17 +36,17 @@
   public void refused(DataTable table) throws Exception {
     for (Map<String, String> row : table.asMaps()) {
       HttpResponse<String> response = post(row.get("path"), row.get("body"));
-      String seen = row.get("body") + " -> " + response.statusCode() + " " + response.body();
-      assertEquals(response.statusCode(), Integer.parseInt(row.get("status")), seen);
+      String exchange = row.get("body") + " -> " + response.statusCode() + " " + response.body();
+      assertEquals(response.statusCode(), Integer.parseInt(row.get("status")), exchange);
       String reason = row.get("reason") == null ? "" : row.get("reason");
-      assertTrue(response.body().replace("\\\"", "\"").contains(reason), seen);
-      assertTrue(response.body().contains("refused"), seen);
+      assertTrue(response.body().replace("\\\"", "\"").contains(reason), exchange);
+      assertTrue(response.body().contains("refused"), exchange);
     }
   }
 
   @Then("a job of {int} tasks is refused with status {int}")
   public void tooManyTasks(int tasks, int status) throws Exception {
-    ObjectNode body = deployment.submission("many");
+    ObjectNode body = context.submission("many");
     var list = body.putArray("tasks");
     for (int i = 0; i < tasks; i++) {
       list.addObject().put("payload", "ms=1 many/" + i);
@@ -55,7 +54,7 @@
     HttpResponse<String> response = post("/v1/jobs", body.toString());
     assertEquals(response.statusCode(), status, response.body());
     assertTrue(response.body().contains("1 to 1900 tasks"), response.body());
-    assertEquals(deployment.starts("many"), 0);
+    assertEquals(context.startCount("many"), 0);
   }
 
   @Then("a body of {int} bytes is refused with status {int}")
@@ -69,7 +68,7 @@
 
   @When("garbage and an oversized frame are sent to every internal port")
   public void garbage() throws IOException {
-    for (String name : INTERNAL) {
+    for (String name : NODES) {
       int port = name.startsWith("server") ? 7_100 : 7_200;
       send(name, port, new byte[] {0, 0, 0, 4, (byte) 0xc1, 1, 2, 3});
       send(name, port, new byte[] {0x7f, 0, 0, 0, 1});
@@ -78,7 +77,7 @@
   }
 
   private void send(String name, int port, byte[] bytes) throws IOException {
-    try (Socket socket = new Socket(deployment.cluster.ipOf(name), port)) {
+    try (Socket socket = new Socket(context.cluster.ipOf(name), port)) {
       new DataOutputStream(socket.getOutputStream()).write(bytes);
       // The connection is closed by the other side.
       assertEquals(socket.getInputStream().read(), -1);
@@ -87,16 +86,16 @@
 
   @Then("the bad frames are counted")
   public void counted() {
-    for (String name : INTERNAL) {
+    for (String name : NODES) {
       int number = Integer.parseInt(name.substring(name.indexOf('-') + 1));
       String address =
           name.startsWith("server")
-              ? deployment.cluster.httpAddress(number)
-              : deployment.cluster.metricsAddress(number);
+              ? context.cluster.httpAddress(number)
+              : context.cluster.metricsAddress(number);
       LocalCluster.await(
           name + " counted three bad frames",
           () ->
-              deployment
+              context
                   .cluster
                   .body(address, "/metrics")
                   .contains("hingehoist_bad_frames_total 3.0"));
--- a/scenarios/src/test/java/io/hingehoist/scenario/CallerSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/CallerSteps.java
@@ -12,82 +12,82 @@
 
 /** Steps about callers. */
 public final class CallerSteps {
-  private final Deployment deployment = Deployments.current();
+  private final ScenarioContext context = CurrentScenario.current();
 
   @When("job {word} of {int} tasks of {int} ms is submitted at server {int}")
-  public void submit(String id, int tasks, int millis, int server) {
-    deployment.post(id, server, "/v1/jobs", deployment.job(id, tasks, millis));
+  public void submit(String id, int tasks, int taskMs, int server) {
+    context.post(id, server, "/v1/jobs", context.job(id, tasks, taskMs));
   }
 
   @When("{int} jobs named {word} of {int} tasks of {int} ms are submitted at every server")
-  public void submitMany(int jobs, String name, int tasks, int millis) {
+  public void submitMany(int jobs, String name, int tasks, int taskMs) {
     for (int i = 0; i < jobs; i++) {
       // Later jobs are shorter, so that answers overtake each other.
-      int shorter = Math.max(1, millis - i * millis / jobs);
+      int shorter = Math.max(1, taskMs - i * taskMs / jobs);
       submit(name + i, tasks, shorter, i % 3 + 1);
     }
   }
 
   @When("job {word} is resubmitted at server {int}")
   public void resubmit(String id, int server) {
-    deployment.post(id, server, "/v1/jobs", deployment.submissions.get(id));
+    context.post(id, server, "/v1/jobs", context.submissions.get(id));
   }
 
   @When("job {word} is resubmitted at a ready server")
   public void resubmit(String id) {
-    deployment.postUntilKnown(id, "/v1/jobs", deployment.submissions.get(id));
+    context.postUntilOutcomeKnown(id, "/v1/jobs", context.submissions.get(id));
   }
 
   @When("job {word} is resubmitted with another payload at server {int}")
   public void resubmitOther(String id, int server) {
-    ObjectNode body = deployment.submissions.get(id).deepCopy();
+    ObjectNode body = context.submissions.get(id).deepCopy();
     body.withArray("tasks").addObject().put("payload", "ms=1 intruder/0");
-    deployment.post("other-" + id, server, "/v1/jobs", body);
+    context.post("other-" + id, server, "/v1/jobs", body);
   }
 
   @When(
       "job {word} of {int} tasks of {int} ms and a deadline of {int} ms is submitted at server {int}")
-  public void submitWithDeadline(String id, int tasks, int millis, int deadlineMs, int server) {
-    ObjectNode body = deployment.job(id, tasks, millis);
+  public void submitWithDeadline(String id, int tasks, int taskMs, int deadlineMs, int server) {
+    ObjectNode body = context.job(id, tasks, taskMs);
     body.put("deadlineAtMs", System.currentTimeMillis() + deadlineMs);
-    deployment.post(id, server, "/v1/jobs", body);
+    context.post(id, server, "/v1/jobs", body);
   }
 
   @When("job {word} submitted {int} ms ago is submitted at server {int}")
   public void submitOld(String id, int ageMs, int server) {
-    ObjectNode body = deployment.job(id, 1, 1);
+    ObjectNode body = context.job(id, 1, 1);
     body.put("submittedAtMs", System.currentTimeMillis() - ageMs);
-    deployment.post(id, server, "/v1/jobs", body);
+    context.post(id, server, "/v1/jobs", body);
   }
 
   @When("request {word} of {int} ms that must not be repeated is sent to server {int}")
-  public void requestOnce(String id, int millis, int server) {
+  public void requestOnce(String id, int taskMs, int server) {
     ObjectNode body =
-        deployment.submissions.computeIfAbsent(
+        context.submissions.computeIfAbsent(
             id,
             name ->
-                deployment
+                context
                     .submission(name)
                     .put("repeatable", false)
-                    .put("payload", Deployment.payload(name, 0, millis)));
-    deployment.post(id, server, "/v1/requests", body);
+                    .put("payload", ScenarioContext.payload(name, 0, taskMs)));
+    context.post(id, server, "/v1/requests", body);
   }
 
   @When(
       "request {word} that the backend server fails and must not be repeated is sent to server {int}")
   public void failingRequestOnce(String id, int server) {
-    ObjectNode body = deployment.submission(id).put("repeatable", false);
+    ObjectNode body = context.submission(id).put("repeatable", false);
     body.put("payload", "fail " + id + "/0");
-    deployment.submissions.put(id, body);
-    deployment.post(id, server, "/v1/requests", body);
+    context.submissions.put(id, body);
+    context.post(id, server, "/v1/requests", body);
   }
 
   @When("{int} repeatable requests of {int} ms are sent to server {int}")
-  public void repeatable(int count, int millis, int server) {
+  public void repeatable(int count, int taskMs, int server) {
     for (int i = 0; i < count; i++) {
-      ObjectNode body = deployment.submission("repeatable").put("repeatable", true);
-      body.put("payload", "ms=" + millis + " repeatable-" + i);
-      deployment.post("repeatable-" + i, server, "/v1/requests", body);
+      ObjectNode body = context.submission("repeatable").put("repeatable", true);
+      body.put("payload", "ms=" + taskMs + " repeatable-" + i);
+      context.post("repeatable-" + i, server, "/v1/requests", body);
     }
   }
 
@@ -95,48 +95,47 @@
   public void awaitAdmitted(String id) {
     LocalCluster.await(
         id + " is admitted",
-        () -> !deployment.state(id).path("outcome").asText("notFound").equals("notFound"));
+        () -> !context.state(id).path("outcome").asText("notFound").equals("notFound"));
   }
 
   @When("at least {int} tasks of job {word} have started")
   public void awaitStarts(int count, String id) {
     LocalCluster.await(
-        count + " tasks of " + id + " have started", () -> deployment.starts(id) >= count);
+        count + " tasks of " + id + " have started", () -> context.startCount(id) >= count);
   }
 
   @When("every result of job {word} is there")
   public void awaitResults(String id) {
-    int tasks = deployment.submissions.get(id).path("tasks").size();
+    int tasks = context.submissions.get(id).path("tasks").size();
     LocalCluster.await(
         "every result of " + id + " is there",
-        () -> deployment.cluster.backends().mapToLong(b -> b.ended(id)).sum() >= tasks);
+        () -> context.cluster.backends().mapToLong(b -> b.answeredCount(id)).sum() >= tasks);
   }
 
   @When("job {word} has ended")
   public void awaitEnded(String id) {
     LocalCluster.await(
         id + " has ended",
-        () ->
-            List.of("complete", "failed").contains(deployment.state(id).path("outcome").asText()));
+        () -> List.of("complete", "failed").contains(context.state(id).path("outcome").asText()));
   }
 
   @Then("^job (\\S+) ends (complete|failed|complete or failed)$")
-  public void ends(String id, String how) {
+  public void ends(String id, String outcomes) {
     awaitEnded(id);
-    String outcome = deployment.state(id).path("outcome").asText();
-    assertTrue(List.of(how.split(" or ")).contains(outcome), outcome);
+    String outcome = context.state(id).path("outcome").asText();
+    assertTrue(List.of(outcomes.split(" or ")).contains(outcome), outcome);
   }
 
   @Then("every caller has an answer")
   public void awaitAnswers() {
-    List<CompletableFuture<Answered>> underway = List.copyOf(deployment.underway);
-    CompletableFuture.allOf(underway.toArray(new CompletableFuture<?>[0])).join();
+    List<CompletableFuture<Answered>> pendingAnswers = List.copyOf(context.pendingAnswers);
+    CompletableFuture.allOf(pendingAnswers.toArray(new CompletableFuture<?>[0])).join();
   }
 
   @Then("^every answer to (\\S+) is (complete|failed|refused)$")
   public void everyAnswer(String id, String outcome) {
     awaitAnswers();
-    List<Answered> answers = deployment.answers.stream().filter(a -> a.id().equals(id)).toList();
+    List<Answered> answers = context.answers.stream().filter(a -> a.id().equals(id)).toList();
     assertTrue(!answers.isEmpty());
     answers.forEach(a -> assertEquals(a.outcome(), outcome, a.toString()));
   }
@@ -144,12 +143,14 @@
   @Then("^every caller of request (\\S+) that comes back ends (complete|failed)$")
   public void everyCallerThatComesBack(String id, String outcome) {
     awaitAnswers();
-    List<Answered> answers = deployment.answers.stream().filter(a -> a.id().equals(id)).toList();
+    List<Answered> answers = context.answers.stream().filter(a -> a.id().equals(id)).toList();
     assertTrue(!answers.isEmpty());
     for (Answered answer : answers) {
       Answered last =
-          answer.asksToComeBack()
-              ? deployment.postUntilKnown(id, "/v1/requests", deployment.submissions.get(id)).join()
+          answer.shouldRetry()
+              ? context
+                  .postUntilOutcomeKnown(id, "/v1/requests", context.submissions.get(id))
+                  .join()
               : answer;
       assertEquals(last.outcome(), outcome, last.toString());
     }
@@ -158,34 +159,33 @@
   @Then("^every answer is complete$")
   public void everyAnswerComplete() {
     awaitAnswers();
-    List.copyOf(deployment.answers)
-        .forEach(a -> assertEquals(a.outcome(), "complete", a.toString()));
+    List.copyOf(context.answers).forEach(a -> assertEquals(a.outcome(), "complete", a.toString()));
   }
 
   @Then("the answer to {word} has the cause {word}")
   public void cause(String id, String cause) {
     awaitAnswers();
     Answered answer =
-        deployment.answers.stream().filter(a -> a.id().equals(id)).findFirst().orElseThrow();
+        context.answers.stream().filter(a -> a.id().equals(id)).findFirst().orElseThrow();
     assertEquals(answer.body().path("cause").asText(), cause, answer.toString());
   }
 
   @Then("the answer to {word} says when to come back")
   public void retryAfter(String id) {
     Answered answer =
-        deployment.answers.stream().filter(a -> a.id().equals(id)).findFirst().orElseThrow();
+        context.answers.stream().filter(a -> a.id().equals(id)).findFirst().orElseThrow();
     assertTrue(answer.body().path("retryAfterMs").asLong() > 0, answer.toString());
   }
 
   @Then("job {word} has started {int} tasks")
   public void started(String id, int count) {
-    assertEquals(deployment.starts(id), count);
+    assertEquals(context.startCount(id), count);
   }
 
   @Then("no task of job {word} starts at {word}")
   public void noStartAt(String id, String agent) throws Exception {
     boolean any =
-        deployment.cluster.startLines().stream()
+        context.cluster.startLogLines().stream()
             .anyMatch(l -> l.contains("\t" + agent + "\t") && l.contains(" " + id + "/"));
     assertTrue(!any, id + " started at " + agent);
   }
--- a/scenarios/src/test/java/io/hingehoist/scenario/ClusterSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/ClusterSteps.java
@@ -19,40 +19,40 @@
 
 /** Steps about processes, disks and links. */
 public final class ClusterSteps {
-  private final Deployment deployment = Deployments.current();
+  private final ScenarioContext context = CurrentScenario.current();
   private int leader;
 
   @Given("a cluster with {int} agents")
   public void cluster(int agents) throws IOException {
-    deployment.create(agents, Map.of());
+    context.create(agents, Map.of());
   }
 
   @Given("a cluster with {int} agents whose replicas take a snapshot every {int} entries")
   public void clusterWithSnapshots(int agents, int entries) throws IOException {
-    deployment.create(agents, Map.of("snapshotEntries", String.valueOf(entries)));
+    context.create(agents, Map.of("snapshotEntries", String.valueOf(entries)));
   }
 
   /** Checks what must hold, and ends the cluster. */
   @After
   public void checkAndClose(Scenario scenario) throws IOException {
     try {
-      if (!scenario.isFailed() && deployment.cluster != null) {
-        new Invariants(deployment).check();
+      if (!scenario.isFailed() && context.cluster != null) {
+        new Invariants(context).check();
       }
     } finally {
       if (scenario.isFailed()) {
-        scenario.log("answers: " + deployment.answers);
-        scenario.log("logs: " + deployment.folder);
-        System.err.println(scenario.getName() + " failed: answers " + deployment.answers);
-        System.err.println("logs: " + deployment.folder);
+        scenario.log("answers: " + context.answers);
+        scenario.log("logs: " + context.folder);
+        System.err.println(scenario.getName() + " failed: answers " + context.answers);
+        System.err.println("logs: " + context.folder);
       }
-      deployment.close();
-      Deployments.end();
+      context.close();
+      CurrentScenario.end();
     }
   }
 
   private NodeProcess process(String name) {
-    return deployment.cluster.process(resolve(name));
+    return context.cluster.process(resolve(name));
   }
 
   private String resolve(String name) {
@@ -60,7 +60,7 @@
       return name;
     }
     if (leader == 0) {
-      leader = deployment.leader();
+      leader = context.leader();
     }
     return "server-" + leader;
   }
@@ -92,7 +92,7 @@
 
   @Then("^(server-\\d|agent-\\d) ends with exit code (\\d+)$")
   public void endsWith(String name, int code) {
-    assertEquals(process(name).awaitEnd(), code);
+    assertEquals(process(name).awaitExit(), code);
   }
 
   @Then("^the log of (server-\\d|agent-\\d) says (.*)$")
@@ -101,69 +101,66 @@
   }
 
   @When("the data folder of {word} is lost")
-  public void wipe(String name) throws IOException {
-    process(name).wipeData();
+  public void deleteData(String name) throws IOException {
+    process(name).deleteData();
   }
 
   @When("the disk of the first follower is lost and it is started again")
-  public void wipeFollower() throws IOException {
-    int follower = deployment.leader() == 1 ? 2 : 1;
-    NodeProcess process = deployment.cluster.process("server-" + follower);
+  public void loseDiskOfFollower() throws IOException {
+    int follower = context.leader() == 1 ? 2 : 1;
+    NodeProcess process = context.cluster.process("server-" + follower);
     process.kill();
-    process.wipeData();
+    process.deleteData();
     process.start();
   }
 
   @When("everything is ready again")
   public void awaitReady() {
-    deployment.cluster.awaitReady();
+    context.cluster.awaitReady();
   }
 
   @When("^(the leader|server-\\d) is cut off$")
   public void cutOff(String name) {
     String box = resolve(name);
-    String ip = deployment.cluster.ipOf(box);
-    deployment.cluster.relay(box).cutAll();
-    for (Relay relay : deployment.cluster.relays()) {
+    String ip = context.cluster.ipOf(box);
+    context.cluster.relay(box).cutAll();
+    for (Relay relay : context.cluster.relays()) {
       relay.cut(ip, Relay.Direction.FORWARD);
-      relay.cut(ip, Relay.Direction.BACK);
+      relay.cut(ip, Relay.Direction.BACKWARD);
     }
   }
 
   @When("^nothing reaches (the leader) any more, but it can send$")
   public void cutInbound(String name) {
-    deployment.cluster.relay(resolve(name)).cutAll();
+    context.cluster.relay(resolve(name)).cutAll();
   }
 
   @When("^nothing that (the leader) sends arrives any more$")
   public void cutOutbound(String name) {
-    String ip = deployment.cluster.ipOf(resolve(name));
-    for (Relay relay : deployment.cluster.relays()) {
+    String ip = context.cluster.ipOf(resolve(name));
+    for (Relay relay : context.cluster.relays()) {
       relay.cut(ip, Relay.Direction.FORWARD);
     }
   }
 
   @When("every link to agent-{int} is cut")
   public void cutAgent(int agent) {
-    deployment.cluster.relay("agent-" + agent).cutAll();
+    context.cluster.relay("agent-" + agent).cutAll();
   }
 
   @When("every link heals")
   public void heal() {
-    deployment.cluster.relays().forEach(Relay::heal);
+    context.cluster.relays().forEach(Relay::heal);
   }
 
   @When("every link takes {int} ms each way")
-  public void delay(int millis) {
-    deployment
-        .cluster
-        .relays()
-        .forEach(r -> r.setDelayNanos(TimeUnit.MILLISECONDS.toNanos(millis)));
+  public void delay(int delayMs) {
+    context.cluster.relays().forEach(r -> r.setDelayNanos(TimeUnit.MILLISECONDS.toNanos(delayMs)));
   }
 
   @When("another server leads")
   public void awaitAnotherLeader() {
-    LocalCluster.await("another server leads", () -> deployment.leader() != leader);
+    LocalCluster.await("another server leads", () -> context.leader() != leader);
   }
 
   @When("^the others notice that (the leader|server-\\d) is gone$")
@@ -177,11 +174,11 @@
     awaitMember(member, state);
     if (state.equals("DRAINING")) {
       // The log knows it before the agent does, whose next heartbeat brings it.
-      LocalCluster.await(member + " takes no new work", () -> saysThatItDrains(member));
+      LocalCluster.await(member + " takes no new work", () -> logsDraining(member));
     }
   }
 
-  private boolean saysThatItDrains(String agent) {
+  private boolean logsDraining(String agent) {
     try {
       String output = process(agent).output();
       return output.lastIndexOf("event=draining ") > output.lastIndexOf("event=takingWork ");
@@ -195,7 +192,7 @@
         member + " is " + state,
         () -> {
           for (var row :
-              deployment.get(deployment.anyReadyServer(), "/v1/reports/members").path("members")) {
+              context.get(context.anyReadyServer(), "/v1/reports/members").path("members")) {
             if (row.path("id").asText().equals(member)) {
               return row.path("state").asText().equals(state);
             }
@@ -207,13 +204,13 @@
   @When("the platform lists {word} as {word}")
   public void platformLists(String agent, String state) throws IOException {
     String list = "{\"boxes\": [{\"agentId\": \"%s\", \"state\": \"%s\"}]}".formatted(agent, state);
-    Files.writeString(deployment.platformList, list);
+    Files.writeString(context.platformList, list);
   }
 
   @Then("{word} is not ready")
   public void notReady(String name) {
     int server = Integer.parseInt(name.substring("server-".length()));
-    LocalCluster.await(name + " is not ready", () -> !deployment.isReady(server));
+    LocalCluster.await(name + " is not ready", () -> !context.isReady(server));
   }
 
   @Then("all three replicas vote")
@@ -223,7 +220,7 @@
         () -> {
           int voters = 0;
           for (var row :
-              deployment.get(deployment.anyReadyServer(), "/v1/reports/status").path("replicas")) {
+              context.get(context.anyReadyServer(), "/v1/reports/status").path("replicas")) {
             voters += row.path("voter").asBoolean() ? 1 : 0;
           }
           return voters == 3;
--- a/scenarios/src/test/java/io/hingehoist/scenario/Invariants.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/Invariants.java
@@ -20,40 +20,40 @@
   /** Payloads of repeatable requests, which may run more than once. */
   static final String REPEATABLE = " repeatable-";
 
-  private final Deployment deployment;
+  private final ScenarioContext context;
 
-  Invariants(Deployment deployment) {
-    this.deployment = deployment;
+  Invariants(ScenarioContext context) {
+    this.context = context;
   }
 
   void check() throws IOException {
-    checkStartsOnce();
+    checkStartedAtMostOnce();
     checkAnswers();
-    assertEquals(deployment.watch.faults(), List.of(), "settings went back");
-    List<Long> revisions = List.copyOf(deployment.acceptedRevisions);
+    assertEquals(context.monitor.violations(), List.of(), "settings went back");
+    List<Long> revisions = List.copyOf(context.acceptedRevisions);
     assertEquals(new HashSet<>(revisions).size(), revisions.size(), "a revision was given twice");
   }
 
   private Map<String, Integer> startsByPayload() throws IOException {
     Map<String, Integer> starts = new HashMap<>();
-    for (String line : deployment.cluster.startLines()) {
+    for (String line : context.cluster.startLogLines()) {
       starts.merge(line.split("\t")[3], 1, Integer::sum);
     }
     return starts;
   }
 
-  private void checkStartsOnce() throws IOException {
-    Map<String, Integer> twice = startsByPayload();
-    twice.entrySet().removeIf(e -> e.getValue() < 2 || e.getKey().contains(REPEATABLE));
-    assertEquals(twice, Map.of(), "started more than once");
+  private void checkStartedAtMostOnce() throws IOException {
+    Map<String, Integer> startedTwice = startsByPayload();
+    startedTwice.entrySet().removeIf(e -> e.getValue() < 2 || e.getKey().contains(REPEATABLE));
+    assertEquals(startedTwice, Map.of(), "started more than once");
   }
 
   private void checkAnswers() throws IOException {
     Map<String, List<Answered>> byId =
-        List.copyOf(deployment.answers).stream().collect(Collectors.groupingBy(Answered::id));
+        List.copyOf(context.answers).stream().collect(Collectors.groupingBy(Answered::id));
     Map<String, Integer> starts = startsByPayload();
     for (Map.Entry<String, List<Answered>> entry : byId.entrySet()) {
-      JsonNode submission = deployment.submissions.get(entry.getKey());
+      JsonNode submission = context.submissions.get(entry.getKey());
       if (submission != null) {
         checkAnswers(entry.getKey(), submission, entry.getValue(), starts);
       }
@@ -63,9 +63,10 @@
   private static void checkAnswers(
       String id, JsonNode submission, List<Answered> answers, Map<String, Integer> starts) {
     List<String> expected = expectedResults(submission);
-    List<JsonNode> finals = answers.stream().filter(Answered::isFinal).map(Answered::body).toList();
-    for (JsonNode answer : finals) {
-      assertEquals(answer, finals.getFirst(), "two answers to submission " + id);
+    List<JsonNode> finalAnswers =
+        answers.stream().filter(Answered::isFinal).map(Answered::body).toList();
+    for (JsonNode answer : finalAnswers) {
+      assertEquals(answer, finalAnswers.getFirst(), "two answers to submission " + id);
       if (answer.path("outcome").asText().equals("complete")) {
         assertEquals(results(answer), expected, "not the whole answer to " + id);
       }
--- a/scenarios/src/test/java/io/hingehoist/scenario/OperatorSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/OperatorSteps.java
@@ -13,13 +13,13 @@
 
 /** Steps about operators. */
 public final class OperatorSteps {
-  private final Deployment deployment = Deployments.current();
+  private final ScenarioContext context = CurrentScenario.current();
   private final List<CompletableFuture<Answered>> changes = new ArrayList<>();
 
-  private static ObjectNode change(String changeId, long base, String key, String value) {
-    ObjectNode body = Deployment.newObject();
+  private static ObjectNode change(String changeId, long baseRevision, String key, String value) {
+    ObjectNode body = ScenarioContext.newObject();
     body.put("changeId", changeId);
-    body.put("baseRevision", base);
+    body.put("baseRevision", baseRevision);
     body.put("path", "/porting");
     body.put("key", key);
     body.put("value", value);
@@ -32,59 +32,62 @@
     LocalCluster.await(
         "the settings can be read",
         () -> {
-          tree[0] = deployment.get(deployment.anyReadyServer(), "/v1/reports/tree");
+          tree[0] = context.get(context.anyReadyServer(), "/v1/reports/tree");
           return tree[0].has("overrides");
         });
     return tree[0].path("revision").asLong();
   }
 
-  private Answered send(int server, ObjectNode body) {
-    Answered answer = sendLater(server, body).join();
+  private Answered postChange(int server, ObjectNode body) {
+    Answered answer = postChangeAsync(server, body).join();
     if (answer.body().path("result").asText().equals("accepted")) {
-      deployment.acceptedRevisions.add(answer.body().path("revision").asLong());
+      context.acceptedRevisions.add(answer.body().path("revision").asLong());
     }
     return answer;
   }
 
-  private CompletableFuture<Answered> sendLater(int server, ObjectNode body) {
-    return deployment.post("settings", server, "/v1/settings", body);
+  private CompletableFuture<Answered> postChangeAsync(int server, ObjectNode body) {
+    return context.post("settings", server, "/v1/settings", body);
   }
 
   @When("an operator sets {word} to {word} at server {int}")
   public void set(String key, String value, int server) {
-    Answered answer = send(server, change("set-" + value, currentRevision(), key, value));
+    Answered answer = postChange(server, change("set-" + value, currentRevision(), key, value));
     assertEquals(answer.body().path("result").asText(), "accepted", answer.toString());
   }
 
   @When("an operator sets {word} to {word} at a ready server")
   public void set(String key, String value) {
-    set(key, value, deployment.anyReadyServer());
+    set(key, value, context.anyReadyServer());
   }
 
   @When("{int} changes of settings are made at a ready server")
   public void manyChanges(int count) {
-    int server = deployment.anyReadyServer();
-    long base = currentRevision();
+    int server = context.anyReadyServer();
+    long baseRevision = currentRevision();
     for (int i = 0; i < count; i++) {
       Answered answer =
-          send(server, change("many-" + i, base + i, "taskTimeoutMs", String.valueOf(10_000 + i)));
+          postChange(
+              server,
+              change("many-" + i, baseRevision + i, "taskTimeoutMs", String.valueOf(10_000 + i)));
       assertEquals(answer.body().path("result").asText(), "accepted", answer.toString());
     }
   }
 
   @When("operators at servers 1, 2 and 3 change {word} at once, each based on the same revision")
   public void race(String key) {
-    long base = currentRevision();
+    long baseRevision = currentRevision();
     for (int server = 1; server <= 3; server++) {
-      changes.add(sendLater(server, change("race-" + server, base, key, "1000" + server)));
+      changes.add(
+          postChangeAsync(server, change("race-" + server, baseRevision, key, "1000" + server)));
     }
   }
 
   @When("operators at servers 1, 2 and 3 make different changes of {word} under the same change id")
   public void raceId(String key) {
-    long base = currentRevision();
+    long baseRevision = currentRevision();
     for (int server = 1; server <= 3; server++) {
-      changes.add(sendLater(server, change("same-id", base, key, "1000" + server)));
+      changes.add(postChangeAsync(server, change("same-id", baseRevision, key, "1000" + server)));
     }
   }
 
@@ -102,7 +105,7 @@
   public void resend() {
     ObjectNode body = change("resent", currentRevision(), "taskTimeoutMs", "12345");
     for (int server = 1; server <= 3; server++) {
-      changes.add(sendLater(server, body));
+      changes.add(postChangeAsync(server, body));
     }
   }
 
@@ -118,11 +121,11 @@
   @Then("revision {int} is in force at every server")
   public void inForce(int revision) {
     for (int server = 1; server <= 3; server++) {
-      String address = deployment.cluster.httpAddress(server);
+      String address = context.cluster.httpAddress(server);
       LocalCluster.await(
           "revision " + revision + " is in force at server " + server,
           () ->
-              deployment
+              context
                   .cluster
                   .body(address, "/health/ready")
                   .startsWith("ready, settings revision " + revision));
@@ -132,8 +135,8 @@
   @Then("the audit trail holds {int} accepted and {int} refused changes of settings")
   public void audit(int accepted, int refused) {
     int[] found = new int[2];
-    deployment
-        .get(deployment.anyReadyServer(), "/v1/reports/history")
+    context
+        .get(context.anyReadyServer(), "/v1/reports/history")
         .path("rows")
         .forEach(row -> found[row.path("accepted").asBoolean() ? 0 : 1]++);
     assertEquals(found, new int[] {accepted, refused});
@@ -141,22 +144,22 @@
 
   @When("an operator drains {word}")
   public void drain(String agent) {
-    order("/v1/members/" + agent + "/drain");
+    postCommand("/v1/members/" + agent + "/drain");
   }
 
   @When("an operator evacuates {word}")
   public void evacuate(String zone) {
-    order("/v1/zones/" + zone + "/evacuate");
+    postCommand("/v1/zones/" + zone + "/evacuate");
   }
 
   @When("an operator restores {word}")
   public void restore(String zone) {
-    order("/v1/zones/" + zone + "/restore");
+    postCommand("/v1/zones/" + zone + "/restore");
   }
 
-  private void order(String path) {
-    ObjectNode body = Deployment.newObject().put("operator", "kim");
-    Answered answer = deployment.post("order", deployment.anyReadyServer(), path, body).join();
+  private void postCommand(String path) {
+    ObjectNode body = ScenarioContext.newObject().put("operator", "kim");
+    Answered answer = context.post("order", context.anyReadyServer(), path, body).join();
     assertEquals(answer.status(), 200, answer.toString());
   }
 }
--- a/scenarios/src/test/java/io/hingehoist/scenario/RevisionWatch.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/RevisionMonitor.java
@@ -10,48 +10,48 @@
 import java.util.concurrent.locks.LockSupport;
 
 /** Watches the settings revision of every ready server, and notes each time that one falls. */
-final class RevisionWatch implements AutoCloseable {
+final class RevisionMonitor implements AutoCloseable {
   private static final String PREFIX = "ready, settings revision ";
 
   private final LocalCluster cluster;
   private final Map<Integer, Long> latest = new HashMap<>();
-  private final List<String> faults = Collections.synchronizedList(new ArrayList<>());
+  private final List<String> violations = Collections.synchronizedList(new ArrayList<>());
   private final Thread thread;
   private volatile boolean closed;
 
-  private RevisionWatch(LocalCluster cluster) {
+  private RevisionMonitor(LocalCluster cluster) {
     this.cluster = cluster;
-    this.thread = Thread.ofVirtual().unstarted(this::watch);
+    this.thread = Thread.ofVirtual().unstarted(this::monitor);
   }
 
-  static RevisionWatch start(Deployment deployment) {
-    RevisionWatch watch = new RevisionWatch(deployment.cluster);
-    watch.thread.start();
-    return watch;
+  static RevisionMonitor start(ScenarioContext context) {
+    RevisionMonitor monitor = new RevisionMonitor(context.cluster);
+    monitor.thread.start();
+    return monitor;
   }
 
-  private void watch() {
+  private void monitor() {
     while (!closed) {
-      for (int server = 1; server <= cluster.shape().servers(); server++) {
-        note(server, cluster.body(cluster.httpAddress(server), "/health/ready").strip());
+      for (int server = 1; server <= cluster.spec().servers(); server++) {
+        recordHealth(server, cluster.body(cluster.httpAddress(server), "/health/ready").strip());
       }
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(50));
     }
   }
 
-  private void note(int server, String health) {
+  private void recordHealth(int server, String health) {
     if (!health.startsWith(PREFIX)) {
       return;
     }
     long revision = Long.parseLong(health.substring(PREFIX.length()));
     Long before = latest.put(server, revision);
     if (before != null && before > revision) {
-      faults.add("server-" + server + " served under " + revision + " after " + before);
+      violations.add("server-" + server + " served under " + revision + " after " + before);
     }
   }
 
-  List<String> faults() {
-    return List.copyOf(faults);
+  List<String> violations() {
+    return List.copyOf(violations);
   }
 
   @Override
--- a/scenarios/src/test/java/io/hingehoist/scenario/Deployment.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/ScenarioContext.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.hingehoist.cluster.ClusterShape;
+import io.hingehoist.cluster.ClusterSpec;
 import io.hingehoist.cluster.LocalCluster;
 import java.io.IOException;
 import java.net.URI;
@@ -25,9 +25,9 @@
 import java.util.function.Predicate;
 
 /** The cluster of one scenario, its callers and what they saw. */
-final class Deployment {
+final class ScenarioContext {
   static final String SERVICE = "porting";
-  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final Duration TIMEOUT = Duration.ofSeconds(90);
   private static final long MIN_RETRY_MS = 50;
   private static final int SLOTS = 8;
@@ -35,22 +35,22 @@
 
   final HttpClient http = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(5)).build();
   final List<Answered> answers = Collections.synchronizedList(new ArrayList<>());
-  final List<CompletableFuture<Answered>> underway =
+  final List<CompletableFuture<Answered>> pendingAnswers =
       Collections.synchronizedList(new ArrayList<>());
   final Map<String, ObjectNode> submissions = new HashMap<>();
   final List<Long> acceptedRevisions = Collections.synchronizedList(new ArrayList<>());
   Path folder;
   Path platformList;
   LocalCluster cluster;
-  RevisionWatch watch;
+  RevisionMonitor monitor;
 
   void create(int agents, Map<String, String> control) throws IOException {
     folder = Files.createTempDirectory("scenario");
     platformList = folder.resolve("boxes.json");
     Files.writeString(platformList, "{\"boxes\": []}");
-    ClusterShape shape =
-        ClusterShape.of(SERVERS, agents, SERVICE, SLOTS)
-            .shortLived()
+    ClusterSpec spec =
+        ClusterSpec.of(SERVERS, agents, SERVICE, SLOTS)
+            .withC1CompilerOnly()
             .withControl("electionTimeoutMs", "400")
             .withControl("heartbeatMs", "60")
             .withControl("leaseMs", "1500")
@@ -58,27 +58,27 @@
             .withControl("platformList", platformList.toString())
             .withControl("platformListMs", "200");
     for (Map.Entry<String, String> field : control.entrySet()) {
-      shape = shape.withControl(field.getKey(), field.getValue());
+      spec = spec.withControl(field.getKey(), field.getValue());
     }
-    cluster = LocalCluster.create(folder, shape);
+    cluster = LocalCluster.create(folder, spec);
     cluster.start();
-    watch = RevisionWatch.start(this);
+    monitor = RevisionMonitor.start(this);
   }
 
   static ObjectNode newObject() {
-    return JSON.createObjectNode();
+    return MAPPER.createObjectNode();
   }
 
   /** Returns the payload of a task; every task of every job has its own. */
-  static String payload(String job, int index, int millis) {
-    return "ms=" + millis + " " + job + "/" + index;
+  static String payload(String job, int index, int taskMs) {
+    return "ms=" + taskMs + " " + job + "/" + index;
   }
 
-  ObjectNode job(String id, int tasks, int millis) {
+  ObjectNode job(String id, int tasks, int taskMs) {
     ObjectNode body = submission(id);
     var list = body.putArray("tasks");
     for (int i = 0; i < tasks; i++) {
-      list.addObject().put("payload", payload(id, i, millis));
+      list.addObject().put("payload", payload(id, i, taskMs));
     }
     submissions.put(id, body);
     return body;
@@ -99,36 +99,37 @@
    * no lease just then and says that nothing ran. The answer after that is kept.
    */
   CompletableFuture<Answered> post(String id, int server, String path, JsonNode body) {
-    return keep(callUntil(Answered::lacksLease, () -> server, id, path, body));
+    return track(callWithRetry(Answered::isRefusedForMissingLease, () -> server, id, path, body));
   }
 
   /**
    * Submits at some ready server, and comes back to one under the same id, for as long as the
    * answer says that nothing ran for want of a lease, or that nothing is known.
    */
-  CompletableFuture<Answered> postUntilKnown(String id, String path, JsonNode body) {
-    return keep(callUntil(Answered::asksToComeBack, this::anyReadyServer, id, path, body));
+  CompletableFuture<Answered> postUntilOutcomeKnown(String id, String path, JsonNode body) {
+    return track(callWithRetry(Answered::shouldRetry, this::anyReadyServer, id, path, body));
   }
 
-  private CompletableFuture<Answered> keep(CompletableFuture<Answered> answer) {
-    underway.add(answer);
+  private CompletableFuture<Answered> track(CompletableFuture<Answered> answer) {
+    pendingAnswers.add(answer);
     answer.thenAccept(answers::add);
     return answer;
   }
 
-  private CompletableFuture<Answered> callUntil(
-      Predicate<Answered> comesBack, IntSupplier server, String id, String path, JsonNode body) {
+  private CompletableFuture<Answered> callWithRetry(
+      Predicate<Answered> retryIf, IntSupplier server, String id, String path, JsonNode body) {
     return call(id, server.getAsInt(), path, body)
         .thenCompose(
             answer ->
-                comesBack.test(answer)
+                retryIf.test(answer)
                     ? CompletableFuture.supplyAsync(
-                            () -> callUntil(comesBack, server, id, path, body), laterBy(answer))
+                            () -> callWithRetry(retryIf, server, id, path, body),
+                            retryExecutor(answer))
                         .thenCompose(next -> next)
                     : CompletableFuture.completedFuture(answer));
   }
 
-  private static Executor laterBy(Answered answer) {
+  private static Executor retryExecutor(Answered answer) {
     long retryAfterMs = Math.max(MIN_RETRY_MS, answer.body().path("retryAfterMs").asLong());
     return CompletableFuture.delayedExecutor(retryAfterMs, TimeUnit.MILLISECONDS);
   }
@@ -155,7 +156,7 @@
 
   private static JsonNode parse(String text) {
     try {
-      return text.isEmpty() ? newObject() : JSON.readTree(text);
+      return text.isEmpty() ? newObject() : MAPPER.readTree(text);
     } catch (IOException e) {
       return newObject().put("notJson", text);
     }
@@ -198,9 +199,9 @@
     return found[0];
   }
 
-  long starts(String job) {
+  long startCount(String job) {
     try {
-      return cluster.startLines().stream().filter(l -> l.contains(" " + job + "/")).count();
+      return cluster.startLogLines().stream().filter(l -> l.contains(" " + job + "/")).count();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -211,8 +212,8 @@
   }
 
   void close() throws IOException {
-    if (watch != null) {
-      watch.close();
+    if (monitor != null) {
+      monitor.close();
     }
     if (cluster != null) {
       for (var process : cluster.processes().values()) {
