--- a/benchmark/src/main/java/io/hingehoist/bench/Arrival.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/Arrival.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * One thing that a caller sends.
+ * One submission of a planned load.
  *
- * @param number its place in the plan
- * @param sendAtNanos when it is meant to be sent, from the start of the load
- * @param kind what it is
- * @param taskMs how long each of its tasks takes
+ * @param index its position in the plan
+ * @param sendAtNanos when it is scheduled to be sent, counted from the start of the load
+ * @param kind the kind of submission
+ * @param taskMs the duration of each of its tasks
  */
-record Arrival(int number, long sendAtNanos, Kind kind, List<Integer> taskMs) {
+record Arrival(int index, long sendAtNanos, Kind kind, List<Integer> taskMs) {
 
-  /** What a caller sends. */
+  /** The kind of a submission. */
   enum Kind {
-    /** A request that may be repeated: the fast path. */
+    /** A request that may be repeated, which takes the fast path. */
     REPEATABLE,
-    /** A request that must not be repeated: the durable path. */
+    /** A request that must not be repeated, which takes the durable path. */
     NON_REPEATABLE,
-    /** A job of several tasks: the durable path. */
+    /** A job of several tasks, which takes the durable path. */
     JOB
   }
 
-  /** Returns the time that the tasks take when each has a slot at once. */
+  /** Returns the response time if every task started without delay: that of the longest task. */
   int idealMs() {
     return taskMs.stream().mapToInt(Integer::intValue).max().orElseThrow();
   }
--- a/benchmark/src/main/java/io/hingehoist/bench/ArrivalPlan.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/ArrivalPlan.java
@@ -5,17 +5,17 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** Static helpers that plan a load: Poisson arrivals of a mix of requests, by seed. */
+/** Static helpers that plan a load: Poisson arrivals of a mix of submissions, drawn from a seed. */
 final class ArrivalPlan {
   private static final int JOB_TASKS = 5;
   private static final int MIN_TASK_MS = 50;
   private static final int MAX_TASK_MS = 1_000;
   private static final int STRAGGLER_MS = 3_000;
 
-  /** Mean of the task times that {@link #taskMs} draws, found by drawing. */
+  /** The mean of the task durations that {@link #taskMs} returns, estimated by sampling. */
   private static final double MEAN_TASK_MS = meanTaskMs();
 
-  /** Tasks of an average arrival: 60 % and 25 % with one task, 15 % with five. */
+  /** The mean number of tasks of an arrival: 60 % and 25 % have one task, 15 % have five. */
   private static final double MEAN_TASKS = 0.85 + 0.15 * JOB_TASKS;
 
   private ArrivalPlan() {}
@@ -23,8 +23,9 @@
   /**
    * Plans a load.
    *
-   * @param utilization the share of all slots that the tasks take up on average
-   * @param burstFactor how much denser arrivals are in the middle fifth of the time
+   * @param utilization the average share of all slots that the tasks occupy
+   * @param burstFactor the factor by which the arrival rate is higher in the middle fifth of the
+   *     time
    */
   static List<Arrival> create(
       int slots, double utilization, double burstFactor, long seconds, long seed) {
@@ -41,7 +42,7 @@
     return plan;
   }
 
-  private static Arrival arrival(int number, double atSeconds, Random random) {
+  private static Arrival arrival(int index, double atSeconds, Random random) {
     int percentile = random.nextInt(100);
     Arrival.Kind kind =
         percentile < 60
@@ -53,10 +54,13 @@
       taskMs.add(taskMs(random));
     }
     long sendAtNanos = (long) (atSeconds * TimeUnit.SECONDS.toNanos(1));
-    return new Arrival(number, sendAtNanos, kind, taskMs);
+    return new Arrival(index, sendAtNanos, kind, taskMs);
   }
 
-  /** Most tasks take 50 ms to a second, one in two hundred takes three seconds. */
+  /**
+   * Returns the duration of a task: mostly 50 ms to one second, and three seconds for one task in
+   * two hundred.
+   */
   private static int taskMs(Random random) {
     if (random.nextInt(200) == 0) {
       return STRAGGLER_MS;
--- a/benchmark/src/main/java/io/hingehoist/bench/Bench.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/Bench.java
@@ -20,38 +20,40 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** Runs the benchmark; {@code ./bench --help} says how. */
+/** The benchmark program; {@code ./bench --help} lists its options. */
 public final class Bench {
   private static final int AGENTS = 11;
   private static final int SLOTS = 8;
   private static final long ZONE_DELAY_NANOS = 500_000;
   private static final long CALLER_DELAY_NANOS = 3_000_000;
 
-  /** Twice the way to callers and twice the way between zones. */
+  /** The round trip between callers and servers plus the round trip between zones. */
   private static final double NETWORK_MS = 2 * (CALLER_DELAY_NANOS + ZONE_DELAY_NANOS) / 1e6;
 
   private static final List<String> POLICIES =
       List.of("random", "twoChoices", "leastOutstanding", "slotCredits");
 
-  @Parameter(names = "--quick", description = "End within three minutes: fewer and shorter runs")
+  @Parameter(
+      names = "--quick",
+      description = "Finish within three minutes, with fewer and shorter runs")
   private boolean quick;
 
-  @Parameter(names = "--policy", description = "The policy of the runs with faults")
+  @Parameter(names = "--policy", description = "The placement policy of the runs with faults")
   private String policy = "leastOutstanding";
 
-  @Parameter(names = "--json", description = "File that gets the figures")
+  @Parameter(names = "--json", description = "Output file for the figures as JSON")
   private String json = "out/bench.json";
 
-  @Parameter(names = "--html", description = "File that gets a page for people")
+  @Parameter(names = "--html", description = "Output file for the report as HTML")
   private String html = "out/bench.html";
 
-  @Parameter(names = "--bounds", description = "File with the bounds, as ratios")
+  @Parameter(names = "--bounds", description = "Input file with the bounds on ratios of figures")
   private String bounds = "benchmark/bounds.json";
 
-  @Parameter(names = "--only", description = "Only the runs whose name contains this")
+  @Parameter(names = "--only", description = "Run only the loads whose name contains this text")
   private String only = "";
 
-  @Parameter(names = "--help", help = true, description = "Show this")
+  @Parameter(names = "--help", help = true, description = "Show this help")
   private boolean help;
 
   private final List<BenchRow> rows = new ArrayList<>();
@@ -94,11 +96,16 @@
         "direct call to a backend server: gap p50 %.2f ms, p99 %.2f ms%n",
         direct.getValueAtPercentile(50) / 1e3, direct.getValueAtPercentile(99) / 1e3);
     System.out.println(BenchRow.header());
-    List<Double> levels = quick ? List.of(0.7, 1.3) : List.of(0.3, 0.7, 0.95, 1.3);
+    List<Double> utilizations = quick ? List.of(0.7, 1.3) : List.of(0.3, 0.7, 0.95, 1.3);
     for (String policyName : POLICIES) {
       setPolicy(policyName);
-      for (double level : levels) {
-        load(policyName + " " + Math.round(level * 100) + "%", level, 1, quick ? 10 : 25, "");
+      for (double utilization : utilizations) {
+        load(
+            policyName + " " + Math.round(utilization * 100) + "%",
+            utilization,
+            1,
+            quick ? 10 : 25,
+            "");
       }
     }
     runFaults();
@@ -119,21 +126,22 @@
     return name.contains(only);
   }
 
-  private void load(String name, double level, double burst, long seconds, String note)
+  private void load(String name, double utilization, double burstFactor, long seconds, String note)
       throws IOException {
     if (!isSelected(name) && !name.equals("warm-up")) {
       return;
     }
-    List<Arrival> plan = ArrivalPlan.create(AGENTS * SLOTS, level, burst, seconds, 42);
+    List<Arrival> plan = ArrivalPlan.create(AGENTS * SLOTS, utilization, burstFactor, seconds, 42);
     ProcessUsage serversBefore = ProcessUsage.of(cluster, "server");
     ProcessUsage agentsBefore = ProcessUsage.of(cluster, "agent");
-    double journalBefore = metric("hingehoist_journal_bytes_total");
-    double syncsBefore = metric("hingehoist_journal_sync_seconds_count");
+    double journalBefore = sumOfMetric("hingehoist_journal_bytes_total");
+    double syncsBefore = sumOfMetric("hingehoist_journal_sync_seconds_count");
     LoadResult result = new LoadGenerator(cluster, NETWORK_MS, runName(name)).run(plan);
     add(BenchRow.of(name, result, seconds, note));
     ProcessUsage servers = ProcessUsage.of(cluster, "server");
     ProcessUsage agents = ProcessUsage.of(cluster, "agent");
-    long durable = plan.stream().filter(a -> a.kind() != Arrival.Kind.REPEATABLE).count();
+    long durableSubmissions =
+        plan.stream().filter(a -> a.kind() != Arrival.Kind.REPEATABLE).count();
     System.out.printf(
         "  usage: processor time a task %.0f us on servers, %.0f us on agents; agents hold up to"
             + " %.1f MB of their own and %.1f MB of files, servers %.0f MB; journal %.0f bytes and"
@@ -143,12 +151,12 @@
         agents.anonymousMb(),
         agents.fileMb(),
         servers.anonymousMb(),
-        (metric("hingehoist_journal_bytes_total") - journalBefore) / durable,
-        (metric("hingehoist_journal_sync_seconds_count") - syncsBefore) / durable);
+        (sumOfMetric("hingehoist_journal_bytes_total") - journalBefore) / durableSubmissions,
+        (sumOfMetric("hingehoist_journal_sync_seconds_count") - syncsBefore) / durableSubmissions);
   }
 
   /** Returns the sum of a metric over all servers. */
-  private double metric(String name) {
+  private double sumOfMetric(String name) {
     double sum = 0;
     for (int server = 1; server <= 3; server++) {
       sum +=
@@ -162,7 +170,7 @@
     return sum;
   }
 
-  private void loadWithKill(String name, String victim, long seconds) throws IOException {
+  private void loadWithKill(String name, String processName, long seconds) throws IOException {
     String fullName = policy + " " + name;
     if (!isSelected(fullName)) {
       return;
@@ -171,15 +179,16 @@
     List<Arrival> plan = ArrivalPlan.create(AGENTS * SLOTS, 0.7, 1, seconds, 43);
     CompletableFuture<Void> kill =
         CompletableFuture.runAsync(
-            () -> cluster.process(victim).kill(),
+            () -> cluster.process(processName).kill(),
             CompletableFuture.delayedExecutor(killAtMs, TimeUnit.MILLISECONDS));
     LoadResult result = new LoadGenerator(cluster, NETWORK_MS, runName(fullName)).run(plan);
     kill.join();
-    double before = result.tasksPerSecond(2_000, killAtMs);
-    long recoveredMs = result.msUntilRate(killAtMs, before * 10 / 11);
-    String note = "before %.0f task/s, back at 10/11 after %d ms".formatted(before, recoveredMs);
+    double rateBefore = result.tasksPerSecond(2_000, killAtMs);
+    long recoveredMs = result.msUntilRate(killAtMs, rateBefore * 10 / 11);
+    String note =
+        "before %.0f task/s, back at 10/11 after %d ms".formatted(rateBefore, recoveredMs);
     add(BenchRow.of(fullName, result, seconds, note));
-    cluster.process(victim).start();
+    cluster.process(processName).start();
     cluster.awaitReady();
   }
 
@@ -215,12 +224,12 @@
     for (int server = 1; server <= 3; server++) {
       String address = cluster.httpAddress(server);
       LocalCluster.await(
-          "the policy is in force",
+          "the placement policy is in force at " + address,
           () -> cluster.body(address, "/health/ready").startsWith(expected));
     }
   }
 
-  static ObjectMapper json() {
+  static ObjectMapper newMapper() {
     return new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
   }
 }
--- a/benchmark/src/main/java/io/hingehoist/bench/BenchReport.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/BenchReport.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.function.ToDoubleFunction;
 
-/** Writes the figures of a run, and compares them with bounds. */
+/** Writes the figures of a benchmark to files and compares them with bounds. */
 final class BenchReport {
   private static final int BOUND_EXCEEDED_EXIT_CODE = 1;
 
@@ -22,19 +22,22 @@
     return new BenchReport(rows);
   }
 
-  /** Writes the files and returns the exit code: not 0 where a ratio is over its bound. */
+  /** Writes the files and returns the exit code, which is not 0 if a ratio exceeds its bound. */
   int write(Path json, Path html, Path bounds, String only) throws IOException {
     Files.createDirectories(json.toAbsolutePath().getParent());
     Files.createDirectories(html.toAbsolutePath().getParent());
-    Bench.json().writeValue(json.toFile(), rows);
+    Bench.newMapper().writeValue(json.toFile(), rows);
     Files.writeString(html, toHtml());
     return only.isEmpty() ? check(bounds) : 0;
   }
 
-  /** Each bound compares one figure of two runs of the same benchmark. */
+  /**
+   * Returns the exit code after checking every bound. A bound limits the ratio of one figure of two
+   * runs of the same benchmark.
+   */
   private int check(Path bounds) throws IOException {
-    int code = 0;
-    for (JsonNode bound : Bench.json().readTree(bounds.toFile())) {
+    int exitCode = 0;
+    for (JsonNode bound : Bench.newMapper().readTree(bounds.toFile())) {
       String figure = bound.path("figure").asText();
       Optional<Double> value = figure(bound.path("run").asText(), figure);
       Optional<Double> base = figure(bound.path("comparedWith").asText(), figure);
@@ -43,25 +46,25 @@
         continue;
       }
       double ratio = value.get() / base.get();
-      boolean within = ratio <= bound.path("atMost").asDouble();
+      boolean withinBound = ratio <= bound.path("atMost").asDouble();
       System.out.printf(
           "%s: %s of %s is %.3f of %s, at most %.3f%n",
-          within ? "within" : "OVER",
+          withinBound ? "within" : "OVER",
           figure,
           bound.path("run").asText(),
           ratio,
           bound.path("comparedWith").asText(),
           bound.path("atMost").asDouble());
-      code = within ? code : BOUND_EXCEEDED_EXIT_CODE;
+      exitCode = withinBound ? exitCode : BOUND_EXCEEDED_EXIT_CODE;
     }
-    return code;
+    return exitCode;
   }
 
   private Optional<Double> figure(String run, String figure) {
     return rows.stream()
         .filter(row -> row.name().equals(run))
         .findFirst()
-        .map(row -> Bench.json().valueToTree(row).path(figure).asDouble());
+        .map(row -> Bench.newMapper().valueToTree(row).path(figure).asDouble());
   }
 
   private String toHtml() {
--- a/benchmark/src/main/java/io/hingehoist/bench/BenchRow.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/BenchRow.java
@@ -4,10 +4,11 @@
 import java.util.Set;
 
 /**
- * One line of the benchmark's table. Gaps are in milliseconds.
+ * One row of the benchmark's table. The gap of a response is its time beyond the duration of its
+ * longest task and the delay of the links; percentiles of gaps are in milliseconds.
  *
- * @param name what was measured, such as {@code twoChoices 70%}
- * @param note what else there is to say
+ * @param name the name of the load, such as {@code twoChoices 70%}
+ * @param note an additional remark, or empty
  */
 record BenchRow(
     String name,
@@ -27,7 +28,9 @@
     Map<String, Long> messagesByType,
     String note) {
 
-  /** How long a load runs before its throughput counts: the first tasks have to end. */
+  /**
+   * The time from the start of a load that its throughput leaves out: the first tasks have to end.
+   */
   private static final long RAMP_UP_MS = 2_000;
 
   private static final Set<String> EXTRA_TYPES =
@@ -53,7 +56,7 @@
         note);
   }
 
-  /** Returns the messages a task that are no start and no answer, by type. */
+  /** Returns the number of messages other than starts and results, by type. */
   private String extraMessages() {
     StringBuilder text = new StringBuilder();
     messagesByType.forEach(
--- a/benchmark/src/main/java/io/hingehoist/bench/DirectCalls.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/DirectCalls.java
@@ -8,13 +8,13 @@
 import java.net.http.HttpResponse;
 import org.HdrHistogram.Histogram;
 
-/** The baseline that no dispatcher can beat: a direct call to a backend server, one at a time. */
+/** The lower bound for any dispatcher: direct calls to a backend server, one at a time. */
 final class DirectCalls {
   private static final int TASK_MS = 50;
 
   private DirectCalls() {}
 
-  /** Returns the gaps of a number of calls, in microseconds. */
+  /** Returns the response-time gaps of a number of calls, in microseconds. */
   static Histogram measure(LocalCluster cluster, int calls) throws IOException {
     Histogram gapMicros = new Histogram(3);
     HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
--- a/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
@@ -15,7 +15,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Sends a plan at its times, whatever has become of what was sent before. */
+/**
+ * Sends the submissions of a plan at their scheduled times, independently of earlier responses
+ * (open loop).
+ */
 final class LoadGenerator {
   static final long DEADLINE_MS = 5_000;
   private static final long LATE_MARGIN_MS = 100;
@@ -33,7 +36,8 @@
   /**
    * Creates a generator.
    *
-   * @param networkMs the time that the links take of every answer, which no system could save
+   * @param networkMs the delay that the links add to every response, which no dispatcher could
+   *     avoid
    */
   LoadGenerator(LocalCluster cluster, double networkMs, String runName) {
     this.cluster = cluster;
@@ -41,7 +45,7 @@
     this.runName = runName;
   }
 
-  /** Sends a plan and waits for every answer. */
+  /** Sends the submissions of a plan and waits for all responses. */
   LoadResult run(List<Arrival> plan) {
     LoadResult result = new LoadResult();
     MessageCounts before = MessageCounts.of(cluster);
@@ -49,7 +53,7 @@
     long startNanos = System.nanoTime();
     for (Arrival arrival : plan) {
       parkUntil(startNanos + arrival.sendAtNanos());
-      answers.add(send(arrival, arrival.number(), startNanos, result));
+      answers.add(send(arrival, arrival.index(), startNanos, result));
     }
     CompletableFuture.allOf(answers.toArray(new CompletableFuture<?>[0])).join();
     result.setMessages(MessageCounts.of(cluster).since(before));
@@ -64,7 +68,7 @@
     }
   }
 
-  /** As a balancer does, sends to the next server what finds no connection. */
+  /** Sends a submission; after a failed attempt to the next server, as a load balancer does. */
   private CompletableFuture<Void> send(
       Arrival arrival, int attempt, long startNanos, LoadResult result) {
     int server = attempt % cluster.spec().servers() + 1;
@@ -83,7 +87,7 @@
         .handle(
             (response, failure) -> {
               boolean mayResend =
-                  failure != null && attempt < arrival.number() + cluster.spec().servers();
+                  failure != null && attempt < arrival.index() + cluster.spec().servers();
               if (mayResend) {
                 return send(arrival, attempt + 1, startNanos, result);
               }
@@ -111,7 +115,7 @@
   private String body(Arrival arrival, long sentWallMs) {
     String common =
         "\"caller\":\"bench\",\"submissionId\":\"%s-%d\",\"submittedAtMs\":%d,\"service\":\"porting\""
-                .formatted(runName, arrival.number(), sentWallMs)
+                .formatted(runName, arrival.index(), sentWallMs)
             + ",\"deadlineAtMs\":"
             + (sentWallMs + DEADLINE_MS);
     if (arrival.kind() == Arrival.Kind.JOB) {
@@ -127,6 +131,6 @@
   }
 
   private String payload(Arrival arrival, int task) {
-    return "ms=%d %s-%d/%d".formatted(arrival.taskMs().get(task), runName, arrival.number(), task);
+    return "ms=%d %s-%d/%d".formatted(arrival.taskMs().get(task), runName, arrival.index(), task);
   }
 }
--- a/benchmark/src/main/java/io/hingehoist/bench/LoadResult.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/LoadResult.java
@@ -6,7 +6,10 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What callers saw of a load. Thread-safe while it is filled. */
+/**
+ * The results of a load as callers saw them. Recording answers is thread-safe; reading is safe once
+ * all answers are recorded.
+ */
 final class LoadResult {
   private static final int BUCKET_MS = 250;
 
@@ -36,8 +39,8 @@
     }
   }
 
-  void setMessages(MessageCounts counted) {
-    messages = counted;
+  void setMessages(MessageCounts messages) {
+    this.messages = messages;
   }
 
   double gapMs(Arrival.Kind kind, double percentile) {
@@ -52,7 +55,7 @@
     return completedTasks;
   }
 
-  /** Returns the answers that came after the deadline. */
+  /** Returns the number of answers that arrived after the deadline. */
   int lateAnswers() {
     return lateAnswers;
   }
@@ -73,7 +76,7 @@
     return messages;
   }
 
-  /** Returns the completed tasks a second from one moment to another. */
+  /** Returns the number of completed tasks per second between two times. */
   double tasksPerSecond(long fromMs, long toMs) {
     int tasks =
         completedTasksByBucket.subMap(fromMs / BUCKET_MS, toMs / BUCKET_MS).values().stream()
@@ -83,7 +86,8 @@
   }
 
   /**
-   * Returns the time after a moment at which a second's throughput reaches a rate; -1 for never.
+   * Returns the time from a moment until the throughput over one second reaches a rate, or -1 if it
+   * never does.
    */
   long msUntilRate(long fromMs, double rate) {
     for (long ms = fromMs; ms + 1_000 <= lastEndMs; ms += BUCKET_MS) {
--- a/benchmark/src/main/java/io/hingehoist/bench/package-info.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The benchmark: open-loop load on a local cluster, with faults, beside baselines in the same run.
+ * The benchmark: open-loop load on a local cluster, with faults, and baselines in the same run.
  *
- * <p>Begin with {@link io.hingehoist.bench.Bench}. Response times count from the moment at which a
- * request was meant to be sent, so a slow system does not hide its own delays.
+ * <p>Start with {@link io.hingehoist.bench.Bench}. Response times count from the time at which a
+ * request was scheduled to be sent, so that a slow system can't hide its own delays (coordinated
+ * omission).
  */
 package io.hingehoist.bench;
--- a/benchmark/src/main/java/io/hingehoist/cluster/LocalCluster.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/LocalCluster.java
@@ -21,10 +21,10 @@
 import java.util.stream.Stream;
 
 /**
- * Servers, agents and stand-in backend servers on loopback addresses, each address with a relay in
- * front of it. Not thread-safe.
+ * Servers, agents and stand-in backend servers on loopback addresses, with a relay in front of each
+ * server and agent. Not thread-safe.
  *
- * <p>Each cluster takes a network of its own, 127.x, so that several can run on one machine.
+ * <p>Each cluster reserves a loopback network of its own, so that several can run on one machine.
  */
 public final class LocalCluster implements AutoCloseable {
   private static final int CONTROL_PORT = 7_100;
@@ -52,7 +52,7 @@
     this.network = LoopbackNetwork.reserve();
   }
 
-  /** Writes the settings files of a cluster, and opens relays and backend servers. */
+  /** Writes the settings files of a cluster and opens its relays and backend servers. */
   public static LocalCluster create(Path folder, ClusterSpec spec) throws IOException {
     LocalCluster cluster = new LocalCluster(folder, spec);
     Files.createDirectories(folder);
@@ -168,7 +168,11 @@
     return folder.resolve(name).resolve("settings.yaml");
   }
 
-  /** Founds the cluster on the first server, starts everything, and waits until it is ready. */
+  /**
+   * Founds the cluster on the first server, starts all processes, and waits until they are ready.
+   *
+   * @throws IOException if the cluster can't be founded or a process can't be started
+   */
   public void start() throws IOException {
     NodeProcess founding =
         NodeProcess.create(
@@ -177,7 +181,7 @@
             DaemonLauncher.builder("", "found", settingsFile("server-1")));
     founding.start();
     if (founding.awaitExit() != 0) {
-      throw new IOException("founding failed: " + founding.output());
+      throw new IOException("could not found the cluster: " + founding.output());
     }
     for (NodeProcess process : processes.values()) {
       process.start();
@@ -185,33 +189,41 @@
     awaitReady();
   }
 
-  /** Waits until every replica votes, every entry has a lease and every agent takes work. */
+  /**
+   * Waits until every entry has a lease, every replica is a voter, and every agent is usable for
+   * every server.
+   */
   public void awaitReady() {
     for (int i = 1; i <= spec.servers(); i++) {
       String address = httpAddress(i);
       await("server-" + i + " is ready", () -> status(address, "/health/ready") == 200);
     }
     await(
-        "every replica votes",
+        "every replica is a voter",
         () ->
             body(httpAddress(1), "/v1/reports/status").split("\"voter\":true").length - 1
                 >= spec.servers());
     for (int i = 1; i <= spec.servers(); i++) {
       String address = httpAddress(i);
       await(
-          "every agent takes work from server-" + i,
+          "every agent is usable for server-" + i,
           () ->
               body(address, "/metrics")
                   .contains("hingehoist_usable_workers " + (double) spec.agents()));
     }
   }
 
-  /** Waits for a condition; fails with its name if it does not come to pass. */
-  public static void await(String what, BooleanSupplier condition) {
-    long giveUpAtNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
+  /**
+   * Waits until a condition holds.
+   *
+   * @param description the condition in words, for the failure message
+   * @throws IllegalStateException if the condition does not hold within 60 s
+   */
+  public static void await(String description, BooleanSupplier condition) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > giveUpAtNanos) {
-        throw new IllegalStateException("it never came to pass that " + what);
+      if (System.nanoTime() > deadlineNanos) {
+        throw new IllegalStateException("condition not met within 60 s: " + description);
       }
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
     }
@@ -225,7 +237,7 @@
     }
   }
 
-  /** Returns the body of a page; empty if it can't be had. */
+  /** Returns the body of an HTTP response, or an empty text if the request fails. */
   public String body(String address, String path) {
     try {
       return get(address, path).body();
@@ -246,43 +258,43 @@
     }
   }
 
-  /** Returns where a backend server takes requests. */
+  /** Returns the address at which the backend server of an agent accepts requests. */
   public String backendAddress(int agent) {
     return agentIp(agent) + ":" + BACKEND_PORT;
   }
 
-  /** Returns where a server takes callers. */
+  /** Returns the HTTP address of a server, which no relay delays. */
   public String httpAddress(int server) {
     return serverIp(server) + ":" + HTTP_PORT;
   }
 
-  /** Returns where a server takes callers that are some way off. */
+  /** Returns the address of the relay through which remote callers reach a server. */
   public String callerAddress(int server) {
     return serverIp(server) + ":" + CALLER_PORT;
   }
 
-  /** Delays everything between callers and servers by a time in each direction. */
+  /** Sets the delay between callers and servers in each direction. */
   public void setCallerDelayNanos(long nanos) {
     callerRelays.values().forEach(relay -> relay.setDelayNanos(nanos));
   }
 
-  /** Returns where an agent serves its metrics. */
+  /** Returns the address at which an agent serves its metrics. */
   public String metricsAddress(int agent) {
     return agentIp(agent) + ":" + METRICS_PORT;
   }
 
-  /** Returns the IP number that a process's connections come from. */
+  /** Returns the source IP address of the connections that a process opens. */
   public String ipOf(String name) {
     int number = Integer.parseInt(name.substring(name.indexOf('-') + 1));
     return name.startsWith("server") ? serverIp(number) : agentIp(number);
   }
 
-  /** Returns a process by its name. */
+  /** Returns the process with a name. */
   public NodeProcess process(String name) {
     return processes.get(name);
   }
 
-  /** Returns every process, by name. */
+  /** Returns all processes by name. */
   public Map<String, NodeProcess> processes() {
     return Map.copyOf(processes);
   }
@@ -292,27 +304,27 @@
     return relays.get(name);
   }
 
-  /** Returns every relay. */
+  /** Returns the relays in front of all processes, without those for callers. */
   public List<Relay> relays() {
     return List.copyOf(relays.values());
   }
 
-  /** Returns the backend server beside an agent. */
+  /** Returns the backend server of an agent. */
   public StandInBackend backend(String agentName) {
     return backends.get(agentName);
   }
 
-  /** Returns every backend server. */
+  /** Returns all backend servers. */
   public Stream<StandInBackend> backends() {
     return backends.values().stream();
   }
 
-  /** Returns the shape. */
+  /** Returns the specification that the cluster was created with. */
   public ClusterSpec spec() {
     return spec;
   }
 
-  /** Returns every start that the backend servers logged, as lines. */
+  /** Returns the lines of the start logs of all backend servers, one line per started task. */
   public List<String> startLogLines() throws IOException {
     List<String> lines = new ArrayList<>();
     for (String agent : backends.keySet()) {
@@ -322,7 +334,7 @@
     return lines;
   }
 
-  /** Ends everything at once. */
+  /** Kills all processes and closes relays, backend servers and the network. */
   @Override
   public void close() throws IOException {
     processes.values().forEach(NodeProcess::killIfRunning);
@@ -335,7 +347,7 @@
     for (StandInBackend backend : backends.values()) {
       backend.close();
     }
-    // The network is free once nothing of this cluster listens on it any more.
+    // Closed last, because another cluster may reserve the network as soon as it is released.
     network.close();
   }
 }
--- a/benchmark/src/main/java/io/hingehoist/cluster/LoopbackNetwork.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/LoopbackNetwork.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * A network 127.N that no other cluster on this machine has: one socket on it stands for it. Not
- * thread-safe.
+ * A loopback network 127.N.0.0/16 that is reserved for one cluster on this machine. A listening
+ * socket at a fixed address of the network marks it as reserved. Not thread-safe.
  */
 public final class LoopbackNetwork implements AutoCloseable {
   private static final int RESERVATION_PORT = 7_000;
@@ -23,9 +23,9 @@
   }
 
   /**
-   * Takes a network.
+   * Reserves a free network.
    *
-   * @throws IOException if all are taken
+   * @throws IOException if all networks are reserved
    */
   public static LoopbackNetwork reserve() throws IOException {
     int first = ThreadLocalRandom.current().nextInt(NETWORKS);
@@ -35,23 +35,23 @@
         InetAddress address = InetAddress.getByName("127." + candidate + ".0.1");
         return new LoopbackNetwork(new ServerSocket(RESERVATION_PORT, 1, address));
       } catch (BindException e) {
-        // Another cluster has it.
+        // Another cluster has reserved this network.
       }
     }
-    throw new IOException("all networks of 127.0.0.0/8 from 127.2 on are taken");
+    throw new IOException("all networks from 127.2.0.0/16 to 127.251.0.0/16 are reserved");
   }
 
   /**
-   * Returns an IP number of this network.
+   * Returns an IP address of this network.
    *
-   * @param group 1 to 255, one for each kind of process
-   * @param member 1 to 254
+   * @param group from 1 to 255, one for each kind of process
+   * @param member from 1 to 254
    */
   public String ip(int group, int member) {
     return "127.%d.%d.%d".formatted(number, group, member);
   }
 
-  /** Leaves the network to others; nothing may listen on it any more. */
+  /** Releases the network; no process may still be listening on it. */
   @Override
   public void close() throws IOException {
     reservation.close();
--- a/benchmark/src/main/java/io/hingehoist/cluster/MessageCounts.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/MessageCounts.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The messages that the processes of a cluster sent, by type, as their metrics tell.
+ * The messages that the processes of a cluster have sent, by type, according to their metrics.
  *
  * @param sent the number of messages by type
  * @param bytes the number of bytes by type
@@ -18,7 +18,7 @@
           "hingehoist_message(s|_bytes)_total\\{direction=\"sent\",type=\"(\\w+)\"} (\\S+)");
   private static final Set<String> HEARTBEATS =
       Set.of("Hello", "AgentStatus", "HeartbeatRequest", "HeartbeatResponse");
-  private static final Set<String> LOG_TRAFFIC =
+  private static final Set<String> CONTROL_MESSAGES =
       Set.of(
           "VoteRequest",
           "VoteResponse",
@@ -32,7 +32,7 @@
           "QueryRequest",
           "QueryResponse");
 
-  /** Reads the metrics of every process. */
+  /** Returns the counts that the metrics of all processes report now. */
   public static MessageCounts of(LocalCluster cluster) {
     Map<String, Long> sent = new TreeMap<>();
     Map<String, Long> bytes = new TreeMap<>();
@@ -45,15 +45,15 @@
     return new MessageCounts(sent, bytes);
   }
 
-  private static void add(String page, Map<String, Long> sent, Map<String, Long> bytes) {
-    Matcher lines = LINE.matcher(page);
+  private static void add(String metricsText, Map<String, Long> sent, Map<String, Long> bytes) {
+    Matcher lines = LINE.matcher(metricsText);
     while (lines.find()) {
-      Map<String, Long> target = lines.group(1).equals("s") ? sent : bytes;
-      target.merge(lines.group(2), (long) Double.parseDouble(lines.group(3)), Long::sum);
+      Map<String, Long> counts = lines.group(1).equals("s") ? sent : bytes;
+      counts.merge(lines.group(2), (long) Double.parseDouble(lines.group(3)), Long::sum);
     }
   }
 
-  /** Returns what was sent after an earlier count. */
+  /** Returns the difference between these counts and earlier ones. */
   public MessageCounts since(MessageCounts earlier) {
     return new MessageCounts(minus(sent, earlier.sent), minus(bytes, earlier.bytes));
   }
@@ -62,37 +62,37 @@
     Map<String, Long> difference = new TreeMap<>();
     later.forEach(
         (type, count) -> {
-          long more = count - earlier.getOrDefault(type, 0L);
-          if (more > 0) {
-            difference.put(type, more);
+          long increase = count - earlier.getOrDefault(type, 0L);
+          if (increase > 0) {
+            difference.put(type, increase);
           }
         });
     return difference;
   }
 
-  /** Returns the messages between entries and agents, without heartbeats. */
+  /** Returns the number of messages between entries and agents, without heartbeats. */
   public long taskMessages() {
-    return sum(sent);
+    return sumOfTaskMessages(sent);
   }
 
-  /** Returns the bytes of the messages between entries and agents, without heartbeats. */
+  /** Returns the number of bytes of messages between entries and agents, without heartbeats. */
   public long taskBytes() {
-    return sum(bytes);
+    return sumOfTaskMessages(bytes);
   }
 
-  /** Returns the messages beyond a start and an answer for each completed task. */
+  /** Returns the number of messages beyond one start and one result for each completed task. */
   public long wasted(long completedTasks) {
     return taskMessages() - 2 * completedTasks;
   }
 
-  /** Returns the heartbeats. */
+  /** Returns the number of heartbeats. */
   public long heartbeats() {
     return HEARTBEATS.stream().mapToLong(type -> sent.getOrDefault(type, 0L)).sum();
   }
 
-  private static long sum(Map<String, Long> counts) {
+  private static long sumOfTaskMessages(Map<String, Long> counts) {
     return counts.entrySet().stream()
-        .filter(e -> !HEARTBEATS.contains(e.getKey()) && !LOG_TRAFFIC.contains(e.getKey()))
+        .filter(e -> !HEARTBEATS.contains(e.getKey()) && !CONTROL_MESSAGES.contains(e.getKey()))
         .mapToLong(Map.Entry::getValue)
         .sum();
   }
--- a/benchmark/src/main/java/io/hingehoist/cluster/NodeProcess.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/NodeProcess.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One process of a local cluster. Not thread-safe. */
+/** A daemon process of a local cluster. Not thread-safe. */
 public final class NodeProcess {
   private final String name;
   private final Path folder;
@@ -22,7 +22,7 @@
     this.output = folder.resolve("output.log");
   }
 
-  /** Creates a process of the daemon that is not started yet. */
+  /** Returns a new daemon process, which is not started. */
   public static NodeProcess create(String name, Path folder, ProcessBuilder builder) {
     return new NodeProcess(name, folder, builder);
   }
@@ -32,47 +32,47 @@
     return name;
   }
 
-  /** Starts the process, or starts it again after it has ended. */
+  /** Starts the process, also after it has exited. */
   public void start() throws IOException {
     builder.redirectErrorStream(true);
     builder.redirectOutput(ProcessBuilder.Redirect.appendTo(output.toFile()));
     process = builder.start();
   }
 
-  /** Returns whether the process runs. */
+  /** Returns whether the process is running. */
   public boolean isRunning() {
     return process != null && process.isAlive();
   }
 
-  /** Returns the number of the process. */
+  /** Returns the process id. */
   public long pid() {
     return process.pid();
   }
 
-  /** Kills the process at once, and waits until it is gone. */
+  /** Kills the process with SIGKILL and waits until it has exited. */
   public void kill() {
     process.destroyForcibly();
     awaitExit();
   }
 
-  /** Kills the process as {@link #kill} does, unless it has ended or was never started. */
+  /** Kills the process as {@link #kill} does if it is running; otherwise does nothing. */
   public void killIfRunning() {
     if (isRunning()) {
       kill();
     }
   }
 
-  /** Asks the process to stop. */
+  /** Sends SIGTERM to the process. */
   public void terminate() {
     process.destroy();
   }
 
-  /** Freezes the process. */
+  /** Suspends the process with SIGSTOP. */
   public void freeze() throws IOException {
     signal("-STOP");
   }
 
-  /** Lets a frozen process go on. */
+  /** Resumes a suspended process with SIGCONT. */
   public void thaw() throws IOException {
     signal("-CONT");
   }
@@ -82,7 +82,7 @@
     waitForExit(kill);
   }
 
-  /** Waits until the process has ended and returns its exit code. */
+  /** Waits until the process has exited and returns its exit code. */
   public int awaitExit() {
     return waitForExit(process);
   }
@@ -90,7 +90,7 @@
   private static int waitForExit(Process process) {
     try {
       if (!process.waitFor(90, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("process " + process.pid() + " does not end");
+        throw new IllegalStateException("process " + process.pid() + " did not exit within 90 s");
       }
       return process.exitValue();
     } catch (InterruptedException e) {
@@ -99,10 +99,10 @@
     }
   }
 
-  /** Removes the data folder of an ended process, as a lost disk would. */
+  /** Deletes the data folder of a process that has exited, to simulate the loss of its disk. */
   public void deleteData() throws IOException {
     if (isRunning()) {
-      throw new IllegalStateException(name + " runs");
+      throw new IllegalStateException(name + " is running; its data folder can't be deleted");
     }
     Path data = folder.resolve("data");
     List<Path> files = new ArrayList<>();
@@ -119,7 +119,7 @@
     return folder.resolve("data");
   }
 
-  /** Returns what the process wrote. */
+  /** Returns the standard output and standard error of the process since its first start. */
   public String output() throws IOException {
     return Files.exists(output) ? Files.readString(output) : "";
   }
--- a/benchmark/src/main/java/io/hingehoist/cluster/ProcessUsage.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/ProcessUsage.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * What some processes have used, as the kernel counts it.
+ * The processor time and memory that a group of processes uses, according to the kernel.
  *
- * @param cpuSeconds processor time of all of them together
- * @param anonymousMb the most memory of its own that one of them holds
- * @param fileMb the most mapped files that one of them holds
+ * @param cpuSeconds the processor time of all processes together
+ * @param anonymousMb the largest resident anonymous memory of one of the processes
+ * @param fileMb the largest resident file mappings of one of the processes
  */
 public record ProcessUsage(double cpuSeconds, double anonymousMb, double fileMb) {
   private static final double TICKS_PER_SECOND = 100;
-  private static final int USER_TICKS = 13;
-  private static final int SYSTEM_TICKS = 14;
+  private static final int USER_TICKS_FIELD = 13;
+  private static final int SYSTEM_TICKS_FIELD = 14;
 
-  /** Reads the usage of the processes whose name begins with a text. */
+  /** Returns the usage of the running processes whose names begin with a prefix. */
   public static ProcessUsage of(LocalCluster cluster, String namePrefix) throws IOException {
     double cpuSeconds = 0;
     double anonymousMb = 0;
@@ -36,7 +36,7 @@
 
   private static double cpuSeconds(String stat) {
     String[] fields = stat.split(" ");
-    return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]))
+    return (Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[SYSTEM_TICKS_FIELD]))
         / TICKS_PER_SECOND;
   }
 
--- a/benchmark/src/main/java/io/hingehoist/cluster/package-info.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A deployment of real processes on this machine's loopback addresses, for demonstrations,
- * scenarios and benchmarks.
+ * Starts a cluster of real processes on loopback addresses of this machine, for the demonstration,
+ * the scenarios and the benchmarks.
  *
- * <p>Begin with {@link io.hingehoist.cluster.LocalCluster}.
+ * <p>Start with {@link io.hingehoist.cluster.LocalCluster}.
  */
 package io.hingehoist.cluster;
--- a/benchmark/src/main/java/io/hingehoist/demo/Demo.java
+++ b/benchmark/src/main/java/io/hingehoist/demo/Demo.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Shows the whole path once: a job and a single request, over real processes. */
+/** Runs one job and one single request through real processes, and prints their results. */
 public final class Demo {
   private static final int TASKS = 40;
   private static final int AGENTS = 3;
@@ -31,7 +31,10 @@
     this.cluster = cluster;
   }
 
-  /** Runs the demonstration; the first argument is the example settings, one change a line. */
+  /**
+   * Runs the demonstration. The first argument is the file of example settings, with one change per
+   * line: path, key and value.
+   */
   public static void main(String[] args) throws Exception {
     Path folder = Files.createTempDirectory("hingehoist-demo");
     System.out.println("starting 3 servers and 3 agents; their logs are in " + folder);
@@ -134,7 +137,7 @@
 
   private static void check(boolean holds, JsonNode answer) {
     if (!holds) {
-      throw new IllegalStateException("not the expected answer: " + answer);
+      throw new IllegalStateException("unexpected response: " + answer);
     }
   }
 }
--- a/benchmark/src/main/java/io/hingehoist/demo/package-info.java
+++ b/benchmark/src/main/java/io/hingehoist/demo/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The demonstration that {@code ./demo} runs.
+ * The demonstration program that {@code ./demo} runs.
  *
- * <p>Begin with {@link io.hingehoist.demo.Demo}.
+ * <p>Start with {@link io.hingehoist.demo.Demo}.
  */
 package io.hingehoist.demo;
--- a/benchmark/src/main/java/io/hingehoist/microbench/DecisionBenchmark.java
+++ b/benchmark/src/main/java/io/hingehoist/microbench/DecisionBenchmark.java
@@ -35,7 +35,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The hot decisions: placement, a lookup of settings, an admission, the coding of a frame. */
+/**
+ * Measures the most frequent decisions: placement, a lookup of settings, an admission, and encoding
+ * and decoding of a frame.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -46,7 +49,7 @@
   private static final int TEAMS = 540;
   private static final long NOW_MS = 1_000;
 
-  /** The workers that an entry chooses from. */
+  /** The number of workers that an entry chooses from. */
   @Param({"11", "500"})
   public int workers;
 
@@ -58,7 +61,7 @@
   private long index;
   private Bytes frame;
 
-  /** Fills workers, settings and state. */
+  /** Creates the workers, the settings and the control state. */
   @Setup
   public void setUp() {
     for (int i = 0; i < workers; i++) {
@@ -90,19 +93,19 @@
         123_456, 1, 7, 1, 1_700_000_000_000L, 1_700_000_000_000L, 30_000, "ms=100 task of a job");
   }
 
-  /** Chooses a worker. */
+  /** Measures the choice of a worker. */
   @Benchmark
   public Optional<Worker<Object>> placement() {
     return leastOutstanding.choose(candidates, random, NOW_MS);
   }
 
-  /** Looks up every value in force at a node. */
+  /** Measures the lookup of all values that are in force at a node of the settings tree. */
   @Benchmark
   public ServicePolicy settingsLookup() {
     return settings.policyAt(SettingsPath.of("service-270", "class", "zone-1"));
   }
 
-  /** Admits a job of five tasks. */
+  /** Measures the admission of a job of five tasks. */
   @Benchmark
   public CommandResult admission() {
     List<String> payloads = List.of("ms=100 a", "ms=100 b", "ms=100 c", "ms=100 d", "ms=100 e");
@@ -122,13 +125,13 @@
             .toBytes());
   }
 
-  /** Writes a frame. */
+  /** Measures the encoding of a frame. */
   @Benchmark
   public Bytes encodeFrame() {
     return startTask().toBytes();
   }
 
-  /** Reads a frame. */
+  /** Measures the decoding of a frame. */
   @Benchmark
   public Message decodeFrame() throws IOException {
     return Message.fromBytes(frame);
--- a/benchmark/src/main/java/io/hingehoist/microbench/MemorySlopes.java
+++ b/benchmark/src/main/java/io/hingehoist/microbench/MemorySlopes.java
@@ -19,14 +19,14 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Measures how much memory each remembered thing takes, by filling the heap with many. */
+/** Measures the memory per stored job or agent, by filling the heap with many of them. */
 public final class MemorySlopes {
   private static final int JOBS = 100_000;
   private static final int AGENTS = 17_000;
 
   private MemorySlopes() {}
 
-  /** Prints the slopes. */
+  /** Prints the number of bytes per object of each kind. */
   public static void main(String[] args) {
     print("control: remembered job of 5 tasks with its answer", JOBS, MemorySlopes::endedJobs);
     print("control: agent in the member table", AGENTS, MemorySlopes::agents);
@@ -39,16 +39,17 @@
         snapshot.size() / JOBS, (System.nanoTime() - startNanos) / 1e6, JOBS);
   }
 
-  private static void print(String what, int count, Supplier<Object> filler) {
-    // Once before, so that classes and caches do not count.
-    Object warmUp = filler.get();
+  private static void print(String label, int count, Supplier<Object> factory) {
+    // Creates and drops one instance first, so that loaded classes and filled caches are not
+    // counted.
+    Object warmUp = factory.get();
     String name = warmUp.getClass().getSimpleName();
     warmUp = null;
     long before = usedBytes();
-    Object filled = filler.get();
+    Object filled = factory.get();
     long bytes = usedBytes() - before;
     Reference.reachabilityFence(filled);
-    System.out.printf("%s: %d bytes (%s)%n", what, bytes / count, name);
+    System.out.printf("%s: %d bytes (%s)%n", label, bytes / count, name);
   }
 
   private static long usedBytes() {
--- a/benchmark/src/main/java/io/hingehoist/standin/Relay.java
+++ b/benchmark/src/main/java/io/hingehoist/standin/Relay.java
@@ -16,22 +16,23 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A TCP relay in front of one address. It delays what passes, and cuts it by the IP number that a
- * connection comes from: what is cut is held, as by a network that loses everything, and arrives
- * late when the link heals. It can also let open connections fall silent for good while new ones
- * work, as a box between does that has forgotten them, and refuse new connections while open ones
- * go on. Thread-safe.
+ * A TCP relay in front of one address, which simulates network faults. It can delay all data, and
+ * cut a direction of the connections that come from a source IP address: their data is held back,
+ * as TCP holds it back while all packets are lost, and is delivered late once the link is healed.
+ * It can also discard the data of all open connections for good while new connections work, as a
+ * middlebox does that has lost their state, and refuse new connections while open ones continue.
+ * Thread-safe.
  */
 public final class Relay implements AutoCloseable {
-  /** A direction of travel through a relay. */
+  /** The direction of data through a relay. */
   public enum Direction {
-    /** From the side that opened the connection. */
+    /** From the side that serverSocket the connection to the target. */
     FORWARD,
-    /** Back to it. */
+    /** From the target to the side that serverSocket the connection. */
     BACKWARD
   }
 
-  private record Piece(byte[] bytes, long dueNanos) {}
+  private record Chunk(byte[] bytes, long dueNanos) {}
 
   private record Listener(ServerSocket socket, Thread acceptor) {}
 
@@ -45,7 +46,7 @@
   private final InetSocketAddress target;
   private final Set<Cut> cuts = ConcurrentHashMap.newKeySet();
   private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-  private final Set<Socket> silent = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> blackholed = ConcurrentHashMap.newKeySet();
   private volatile long delayNanos;
   private volatile boolean closed;
 
@@ -60,7 +61,7 @@
     this.target = target;
   }
 
-  /** Opens a relay. */
+  /** Opens a relay that listens on one address and connects to another. */
   public static Relay open(String ip, int port, String targetIp, int targetPort)
       throws IOException {
     Relay relay =
@@ -83,19 +84,19 @@
     listener = Optional.empty();
     stopped.socket().close();
     try {
-      // The socket may listen until the thread that accepts from it has left it.
+      // The socket may go on listening until its accepting thread has returned from accept().
       stopped.acceptor().join();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Delays everything by a time in each direction. */
+  /** Sets the delay of all data in each direction. */
   public void setDelayNanos(long nanos) {
     delayNanos = nanos;
   }
 
-  /** Cuts one direction of the connections that come from an IP number. */
+  /** Cuts one direction of the connections that come from an IP address. */
   public void cut(String sourceIp, Direction direction) {
     cuts.add(new Cut(sourceIp, direction));
   }
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Refuses new connections until {@link #acceptConnections} was called as often as this; open ones
-   * go on.
+   * Refuses new connections until {@link #acceptConnections} has been called as often as this
+   * method. Open connections continue.
    *
    * @throws IOException if the listening socket can't be closed
    */
@@ -118,9 +119,10 @@
   }
 
   /**
-   * Ends one call of {@link #refuseConnections}.
+   * Reverts one call of {@link #refuseConnections}. New connections are accepted again once every
+   * call is reverted.
    *
-   * @throws IOException if the address can't be opened again
+   * @throws IOException if the relay can't listen on its address again
    */
   public synchronized void acceptConnections() throws IOException {
     refusalCount--;
@@ -129,108 +131,108 @@
     }
   }
 
-  /** Lets everything pass again that was cut. */
+  /** Ends all cuts; data that was held back is delivered. */
   public void heal() {
     cuts.clear();
   }
 
-  /** Resets every connection that passes, on both sides. */
+  /** Resets all open connections on both sides. */
   public void resetConnections() {
     for (Socket socket : List.copyOf(sockets)) {
       try {
-        // With no time to linger, closing sends a reset.
+        // With a linger time of 0, closing the socket sends a reset.
         socket.setSoLinger(true, 0);
       } catch (SocketException e) {
-        // It is closed already.
+        // The socket is already closed.
       }
       close(socket);
     }
   }
 
   /**
-   * Lets every connection that passes now fall silent for good: nothing arrives on it any more, and
-   * neither side hears that the other closes it. Connections that come later pass.
+   * Discards all further data of the connections that are open now; neither side is notified when
+   * the other closes the connection. Later connections are not affected.
    */
   public void blackholeConnections() {
-    silent.addAll(sockets);
+    blackholed.addAll(sockets);
   }
 
   private boolean isCut(String sourceIp, Direction direction) {
     return cuts.contains(new Cut(sourceIp, direction)) || cuts.contains(new Cut(ANY, direction));
   }
 
-  private void accept(ServerSocket opened) {
+  private void accept(ServerSocket serverSocket) {
     while (!closed) {
       try {
-        Socket near = opened.accept();
-        Thread.ofVirtual().start(() -> connect(near));
+        Socket clientSocket = serverSocket.accept();
+        Thread.ofVirtual().start(() -> connect(clientSocket));
       } catch (IOException e) {
         return;
       }
     }
   }
 
-  private void connect(Socket near) {
-    String source = near.getInetAddress().getHostAddress();
-    Socket far = new Socket();
-    sockets.add(near);
-    sockets.add(far);
+  private void connect(Socket clientSocket) {
+    String source = clientSocket.getInetAddress().getHostAddress();
+    Socket targetSocket = new Socket();
+    sockets.add(clientSocket);
+    sockets.add(targetSocket);
     try {
-      near.setTcpNoDelay(true);
-      far.setTcpNoDelay(true);
+      clientSocket.setTcpNoDelay(true);
+      targetSocket.setTcpNoDelay(true);
       waitWhileCut(source, Direction.FORWARD);
-      far.connect(target);
-      carry(near, far, source, Direction.FORWARD);
-      carry(far, near, source, Direction.BACKWARD);
+      targetSocket.connect(target);
+      startForwarding(clientSocket, targetSocket, source, Direction.FORWARD);
+      startForwarding(targetSocket, clientSocket, source, Direction.BACKWARD);
     } catch (IOException e) {
-      close(near, far);
+      close(clientSocket, targetSocket);
     }
   }
 
-  private void carry(Socket from, Socket to, String source, Direction direction) {
-    LinkedBlockingQueue<Piece> queue = new LinkedBlockingQueue<>();
+  private void startForwarding(Socket from, Socket to, String source, Direction direction) {
+    LinkedBlockingQueue<Chunk> queue = new LinkedBlockingQueue<>();
     Thread.ofVirtual().start(() -> read(from, to, queue));
     Thread.ofVirtual().start(() -> write(from, to, queue, source, direction));
   }
 
-  private void read(Socket from, Socket to, LinkedBlockingQueue<Piece> queue) {
+  private void read(Socket from, Socket to, LinkedBlockingQueue<Chunk> queue) {
     byte[] buffer = new byte[16 * 1024];
     try {
       InputStream in = from.getInputStream();
       int count = in.read(buffer);
       while (count >= 0) {
-        queue.add(new Piece(Arrays.copyOf(buffer, count), System.nanoTime() + delayNanos));
+        queue.add(new Chunk(Arrays.copyOf(buffer, count), System.nanoTime() + delayNanos));
         count = in.read(buffer);
       }
     } catch (IOException e) {
-      // The connection ended; the last piece says so.
+      // The connection has ended; the empty chunk below tells the writer.
     }
-    queue.add(new Piece(new byte[0], System.nanoTime() + delayNanos));
+    queue.add(new Chunk(new byte[0], System.nanoTime() + delayNanos));
   }
 
   private void write(
       Socket from,
       Socket to,
-      LinkedBlockingQueue<Piece> queue,
+      LinkedBlockingQueue<Chunk> queue,
       String source,
       Direction direction) {
     try {
       OutputStream out = to.getOutputStream();
-      Piece piece = queue.take();
-      while (piece.bytes().length > 0) {
-        LockSupport.parkNanos(piece.dueNanos() - System.nanoTime());
+      Chunk chunk = queue.take();
+      while (chunk.bytes().length > 0) {
+        LockSupport.parkNanos(chunk.dueNanos() - System.nanoTime());
         waitWhileCut(source, direction);
-        if (!silent.contains(to)) {
-          out.write(piece.bytes());
+        if (!blackholed.contains(to)) {
+          out.write(chunk.bytes());
         }
-        piece = queue.take();
+        chunk = queue.take();
       }
     } catch (IOException e) {
-      // The far side ended.
+      // The receiving side has closed the connection.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    if (silent.contains(to)) {
+    if (blackholed.contains(to)) {
       close(from);
     } else {
       close(from, to);
@@ -243,13 +245,13 @@
     }
   }
 
-  private void close(Socket... ended) {
-    for (Socket socket : ended) {
+  private void close(Socket... closing) {
+    for (Socket socket : closing) {
       sockets.remove(socket);
       try {
         socket.close();
       } catch (IOException e) {
-        // Nothing is left to do for a socket that can't be closed.
+        // There is no way to recover from a failed close, and the socket is no longer used.
       }
     }
   }
--- a/benchmark/src/main/java/io/hingehoist/standin/StandInBackend.java
+++ b/benchmark/src/main/java/io/hingehoist/standin/StandInBackend.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A backend server that does what its payload says: {@code ms=120 rest} takes 120 ms and answers
- * {@code done rest}; {@code fail rest} answers with an error. Every start is a line in its log
- * before anything else happens, so that starts are counted by someone other than hingehoist.
+ * A backend server whose behaviour the payload determines: {@code ms=120 rest} takes 120 ms and
+ * returns {@code done rest}; {@code fail rest} returns an error. It appends a line to its log
+ * before it runs a task, so that starts can be counted independently of hingehoist. Thread-safe.
  */
 public final class StandInBackend implements AutoCloseable {
   private final HttpServer server;
@@ -37,7 +37,7 @@
     this.name = name;
   }
 
-  /** Starts a backend server. */
+  /** Starts a backend server that appends its starts to a log file. */
   public static StandInBackend start(String name, String ip, int port, Path logFile)
       throws IOException {
     HttpServer server =
@@ -51,25 +51,25 @@
     return backend;
   }
 
-  /** Makes every task take this many times as long. */
+  /** Multiplies the duration of every task that starts from now on by a factor. */
   public void setSlowdownFactor(double factor) {
     slowdownFactor = factor;
   }
 
-  /** Returns the number of answers sent to payloads that name a job. */
+  /** Returns the number of responses that were sent for tasks of a job. */
   public long answeredCount(String job) {
     return answeredPayloads.stream().filter(payload -> payload.contains(" " + job + "/")).count();
   }
 
-  /** Returns the most tasks that ran at once. */
+  /** Returns the largest number of tasks that ran concurrently. */
   public int maxConcurrentTasks() {
     return maxConcurrentTasks.get();
   }
 
   private void serve(HttpExchange exchange) throws IOException {
     String payload = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
-    int now = running.incrementAndGet();
-    maxConcurrentTasks.accumulateAndGet(now, Math::max);
+    int nowRunning = running.incrementAndGet();
+    maxConcurrentTasks.accumulateAndGet(nowRunning, Math::max);
     String task = exchange.getRequestHeaders().getFirst("Hingehoist-Task");
     writeLog(task, payload);
     int status = payload.startsWith("fail") ? 500 : 200;
--- a/benchmark/src/main/java/io/hingehoist/standin/package-info.java
+++ b/benchmark/src/main/java/io/hingehoist/standin/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Stand-ins for what surrounds hingehoist: a backend server that logs every start by itself, and a
- * relay that delays or cuts a link.
+ * Stand-ins for the surroundings of hingehoist: a backend server that keeps its own log of every
+ * start, and a relay that delays or blocks a network link.
  *
- * <p>Begin with {@link io.hingehoist.standin.StandInBackend} and {@link
+ * <p>Start with {@link io.hingehoist.standin.StandInBackend} and {@link
  * io.hingehoist.standin.Relay}.
  */
 package io.hingehoist.standin;
--- a/benchmark/src/test/java/io/hingehoist/standin/RelayTest.java
+++ b/benchmark/src/test/java/io/hingehoist/standin/RelayTest.java
@@ -38,31 +38,31 @@
   }
 
   @Test
-  public void refusesNewConnectionsWhileOpenOnesGoOn() throws IOException {
-    try (Socket near = new Socket(ip, PORT);
-        Socket far = target.accept()) {
+  public void refusesNewConnectionsWhileOpenOnesContinue() throws IOException {
+    try (Socket clientSocket = new Socket(ip, PORT);
+        Socket targetSocket = target.accept()) {
       relay.refuseConnections();
-      assertRefuses();
-      near.getOutputStream().write(7);
-      assertEquals(far.getInputStream().read(), 7);
+      assertConnectionRefused();
+      clientSocket.getOutputStream().write(7);
+      assertEquals(targetSocket.getInputStream().read(), 7);
     }
   }
 
   @Test
-  public void admitsOnceEveryRefusalIsOver() throws IOException {
+  public void acceptsConnectionsOnceEveryRefusalIsReverted() throws IOException {
     relay.refuseConnections();
     relay.refuseConnections();
     relay.acceptConnections();
-    assertRefuses();
+    assertConnectionRefused();
     relay.acceptConnections();
-    try (Socket near = new Socket(ip, PORT);
-        Socket far = target.accept()) {
-      near.getOutputStream().write(7);
-      assertEquals(far.getInputStream().read(), 7);
+    try (Socket clientSocket = new Socket(ip, PORT);
+        Socket targetSocket = target.accept()) {
+      clientSocket.getOutputStream().write(7);
+      assertEquals(targetSocket.getInputStream().read(), 7);
     }
   }
 
-  private void assertRefuses() {
+  private void assertConnectionRefused() {
     assertThrows(ConnectException.class, () -> new Socket(ip, PORT).close());
   }
 }
--- a/scenarios/src/test/java/io/hingehoist/scenario/Answered.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/Answered.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * An answer as a caller saw it.
+ * A response as a caller received it.
  *
- * @param status the HTTP status; -1 where the connection broke without an answer
+ * @param status the HTTP status, or -1 if the request failed without a response
  */
 record Answered(String id, int server, int status, JsonNode body) {
 
@@ -14,13 +14,13 @@
     return body.path("outcome").asText();
   }
 
-  /** Returns whether nothing ran because the entry had no lease just then. */
+  /** Returns whether the submission was refused, and not run, because the entry had no lease. */
   boolean isRefusedForMissingLease() {
     String cause = body.path("cause").asText();
     return outcome().equals("refused") && List.of("NO_LEASE", "ENTRY_NOT_LIVE").contains(cause);
   }
 
-  /** Returns whether a caller is to come back under the same id. */
+  /** Returns whether the caller should submit again under the same id. */
   boolean shouldRetry() {
     return isRefusedForMissingLease() || outcome().equals("unknown");
   }
--- a/scenarios/src/test/java/io/hingehoist/scenario/BadInputSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/BadInputSteps.java
@@ -17,10 +17,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Steps about input that must be refused. */
+/** Steps that send invalid input, which must be refused. */
 public final class BadInputSteps {
   private static final List<String> NODES = List.of("server-1", "server-2", "server-3", "agent-1");
-  private final ScenarioContext context = CurrentScenario.current();
+  private final ScenarioContext context = CurrentScenario.context();
 
   private HttpResponse<String> post(String path, String body) throws Exception {
     URI uri = URI.create("http://" + context.cluster.httpAddress(1) + path);
@@ -33,7 +33,7 @@
   }
 
   @Then("these bodies are refused:")
-  public void refused(DataTable table) throws Exception {
+  public void bodiesAreRefused(DataTable table) throws Exception {
     for (Map<String, String> row : table.asMaps()) {
       HttpResponse<String> response = post(row.get("path"), row.get("body"));
       String exchange = row.get("body") + " -> " + response.statusCode() + " " + response.body();
@@ -45,7 +45,7 @@
   }
 
   @Then("a job of {int} tasks is refused with status {int}")
-  public void tooManyTasks(int tasks, int status) throws Exception {
+  public void jobWithTooManyTasksIsRefused(int tasks, int status) throws Exception {
     ObjectNode body = context.submission("many");
     var list = body.putArray("tasks");
     for (int i = 0; i < tasks; i++) {
@@ -58,16 +58,17 @@
   }
 
   @Then("a body of {int} bytes is refused with status {int}")
-  public void tooLarge(int bytes, int status) throws Exception {
+  public void oversizedBodyIsRefused(int bytes, int status) throws Exception {
     String body = "{\"caller\":\"" + "x".repeat(bytes) + "\"}";
-    // Often, because an answer that overtakes the body is lost only now and then.
+    // Repeated, because an answer that is sent before the body has been read is lost only
+    // sometimes.
     for (int i = 0; i < 50; i++) {
       assertEquals(post("/v1/jobs", body).statusCode(), status);
     }
   }
 
   @When("garbage and an oversized frame are sent to every internal port")
-  public void garbage() throws IOException {
+  public void sendInvalidFrames() throws IOException {
     for (String name : NODES) {
       int port = name.startsWith("server") ? 7_100 : 7_200;
       send(name, port, new byte[] {0, 0, 0, 4, (byte) 0xc1, 1, 2, 3});
@@ -79,13 +80,13 @@
   private void send(String name, int port, byte[] bytes) throws IOException {
     try (Socket socket = new Socket(context.cluster.ipOf(name), port)) {
       new DataOutputStream(socket.getOutputStream()).write(bytes);
-      // The connection is closed by the other side.
+      // The end of the stream shows that the other side has closed the connection.
       assertEquals(socket.getInputStream().read(), -1);
     }
   }
 
   @Then("the bad frames are counted")
-  public void counted() {
+  public void badFramesAreCounted() {
     for (String name : NODES) {
       int number = Integer.parseInt(name.substring(name.indexOf('-') + 1));
       String address =
@@ -93,7 +94,7 @@
               ? context.cluster.httpAddress(number)
               : context.cluster.metricsAddress(number);
       LocalCluster.await(
-          name + " counted three bad frames",
+          name + " has counted three bad frames",
           () ->
               context
                   .cluster
--- a/scenarios/src/test/java/io/hingehoist/scenario/CallerSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/CallerSteps.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Steps about callers. */
+/** Steps that act as callers. */
 public final class CallerSteps {
-  private final ScenarioContext context = CurrentScenario.current();
+  private final ScenarioContext context = CurrentScenario.context();
 
-  @When("job {word} of {int} tasks of {int} ms is submitted at server {int}")
+  @When("job {word} of {int} task(s) of {int} ms is submitted at server {int}")
   public void submit(String id, int tasks, int taskMs, int server) {
     context.post(id, server, "/v1/jobs", context.job(id, tasks, taskMs));
   }
@@ -22,9 +22,9 @@
   @When("{int} jobs named {word} of {int} tasks of {int} ms are submitted at every server")
   public void submitMany(int jobs, String name, int tasks, int taskMs) {
     for (int i = 0; i < jobs; i++) {
-      // Later jobs are shorter, so that answers overtake each other.
-      int shorter = Math.max(1, taskMs - i * taskMs / jobs);
-      submit(name + i, tasks, shorter, i % 3 + 1);
+      // Later jobs are shorter, so that answers arrive out of order.
+      int shorterTaskMs = Math.max(1, taskMs - i * taskMs / jobs);
+      submit(name + i, tasks, shorterTaskMs, i % 3 + 1);
     }
   }
 
@@ -39,7 +39,7 @@
   }
 
   @When("job {word} is resubmitted with another payload at server {int}")
-  public void resubmitOther(String id, int server) {
+  public void resubmitWithOtherPayload(String id, int server) {
     ObjectNode body = context.submissions.get(id).deepCopy();
     body.withArray("tasks").addObject().put("payload", "ms=1 intruder/0");
     context.post("other-" + id, server, "/v1/jobs", body);
@@ -61,7 +61,7 @@
   }
 
   @When("request {word} of {int} ms that must not be repeated is sent to server {int}")
-  public void requestOnce(String id, int taskMs, int server) {
+  public void sendNonRepeatable(String id, int taskMs, int server) {
     ObjectNode body =
         context.submissions.computeIfAbsent(
             id,
@@ -74,8 +74,8 @@
   }
 
   @When(
-      "request {word} that the backend server fails and must not be repeated is sent to server {int}")
-  public void failingRequestOnce(String id, int server) {
+      "request {word} that must not be repeated and fails at the backend server is sent to server {int}")
+  public void sendFailingNonRepeatable(String id, int server) {
     ObjectNode body = context.submission(id).put("repeatable", false);
     body.put("payload", "fail " + id + "/0");
     context.submissions.put(id, body);
@@ -83,7 +83,7 @@
   }
 
   @When("{int} repeatable requests of {int} ms are sent to server {int}")
-  public void repeatable(int count, int taskMs, int server) {
+  public void sendRepeatable(int count, int taskMs, int server) {
     for (int i = 0; i < count; i++) {
       ObjectNode body = context.submission("repeatable").put("repeatable", true);
       body.put("payload", "ms=" + taskMs + " repeatable-" + i);
@@ -98,17 +98,17 @@
         () -> !context.state(id).path("outcome").asText("notFound").equals("notFound"));
   }
 
-  @When("at least {int} tasks of job {word} have started")
+  @When("at least {int} task(s) of job {word} has/have started")
   public void awaitStarts(int count, String id) {
     LocalCluster.await(
         count + " tasks of " + id + " have started", () -> context.startCount(id) >= count);
   }
 
-  @When("every result of job {word} is there")
+  @When("the backend servers have answered every task of job {word}")
   public void awaitResults(String id) {
     int tasks = context.submissions.get(id).path("tasks").size();
     LocalCluster.await(
-        "every result of " + id + " is there",
+        "every result of " + id + " has been sent",
         () -> context.cluster.backends().mapToLong(b -> b.answeredCount(id)).sum() >= tasks);
   }
 
@@ -126,7 +126,7 @@
     assertTrue(List.of(outcomes.split(" or ")).contains(outcome), outcome);
   }
 
-  @Then("every caller has an answer")
+  @Then("every caller has received an answer")
   public void awaitAnswers() {
     List<CompletableFuture<Answered>> pendingAnswers = List.copyOf(context.pendingAnswers);
     CompletableFuture.allOf(pendingAnswers.toArray(new CompletableFuture<?>[0])).join();
@@ -140,8 +140,8 @@
     answers.forEach(a -> assertEquals(a.outcome(), outcome, a.toString()));
   }
 
-  @Then("^every caller of request (\\S+) that comes back ends (complete|failed)$")
-  public void everyCallerThatComesBack(String id, String outcome) {
+  @Then("^every caller of request (\\S+) ends (complete|failed) after retries$")
+  public void everyCallerAfterRetries(String id, String outcome) {
     awaitAnswers();
     List<Answered> answers = context.answers.stream().filter(a -> a.id().equals(id)).toList();
     assertTrue(!answers.isEmpty());
@@ -163,30 +163,30 @@
   }
 
   @Then("the answer to {word} has the cause {word}")
-  public void cause(String id, String cause) {
+  public void answerHasCause(String id, String cause) {
     awaitAnswers();
     Answered answer =
         context.answers.stream().filter(a -> a.id().equals(id)).findFirst().orElseThrow();
     assertEquals(answer.body().path("cause").asText(), cause, answer.toString());
   }
 
-  @Then("the answer to {word} says when to come back")
-  public void retryAfter(String id) {
+  @Then("the answer to {word} says when to retry")
+  public void answerHasRetryDelay(String id) {
     Answered answer =
         context.answers.stream().filter(a -> a.id().equals(id)).findFirst().orElseThrow();
     assertTrue(answer.body().path("retryAfterMs").asLong() > 0, answer.toString());
   }
 
-  @Then("job {word} has started {int} tasks")
-  public void started(String id, int count) {
+  @Then("job {word} has started {int} task(s)")
+  public void hasStarted(String id, int count) {
     assertEquals(context.startCount(id), count);
   }
 
   @Then("no task of job {word} starts at {word}")
   public void noStartAt(String id, String agent) throws Exception {
-    boolean any =
+    boolean startedThere =
         context.cluster.startLogLines().stream()
             .anyMatch(l -> l.contains("\t" + agent + "\t") && l.contains(" " + id + "/"));
-    assertTrue(!any, id + " started at " + agent);
+    assertTrue(!startedThere, "a task of " + id + " started at " + agent);
   }
 }
--- a/scenarios/src/test/java/io/hingehoist/scenario/ClusterSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/ClusterSteps.java
@@ -17,22 +17,22 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Steps about processes, disks and links. */
+/** Steps that change or check processes, disks and network links. */
 public final class ClusterSteps {
-  private final ScenarioContext context = CurrentScenario.current();
-  private int leader;
+  private final ScenarioContext context = CurrentScenario.context();
+  private int leaderNumber;
 
-  @Given("a cluster with {int} agents")
-  public void cluster(int agents) throws IOException {
+  @Given("a cluster with {int} agent(s)")
+  public void createCluster(int agents) throws IOException {
     context.create(agents, Map.of());
   }
 
-  @Given("a cluster with {int} agents whose replicas take a snapshot every {int} entries")
-  public void clusterWithSnapshots(int agents, int entries) throws IOException {
+  @Given("a cluster with {int} agent(s) whose replicas take a snapshot every {int} entries")
+  public void createClusterWithSnapshots(int agents, int entries) throws IOException {
     context.create(agents, Map.of("snapshotEntries", String.valueOf(entries)));
   }
 
-  /** Checks what must hold, and ends the cluster. */
+  /** Checks the invariants unless the scenario has failed, and closes the cluster. */
   @After
   public void checkAndClose(Scenario scenario) throws IOException {
     try {
@@ -43,11 +43,11 @@
       if (scenario.isFailed()) {
         scenario.log("answers: " + context.answers);
         scenario.log("logs: " + context.folder);
-        System.err.println(scenario.getName() + " failed: answers " + context.answers);
+        System.err.println(scenario.getName() + " failed; answers: " + context.answers);
         System.err.println("logs: " + context.folder);
       }
       context.close();
-      CurrentScenario.end();
+      CurrentScenario.clear();
     }
   }
 
@@ -59,10 +59,10 @@
     if (!name.equals("the leader")) {
       return name;
     }
-    if (leader == 0) {
-      leader = context.leader();
+    if (leaderNumber == 0) {
+      leaderNumber = context.leader();
     }
-    return "server-" + leader;
+    return "server-" + leaderNumber;
   }
 
   @When("^(the leader|server-\\d|agent-\\d) is killed$")
@@ -91,13 +91,14 @@
   }
 
   @Then("^(server-\\d|agent-\\d) ends with exit code (\\d+)$")
-  public void endsWith(String name, int code) {
+  public void exitsWith(String name, int code) {
     assertEquals(process(name).awaitExit(), code);
   }
 
-  @Then("^the log of (server-\\d|agent-\\d) says (.*)$")
-  public void logSays(String name, String line) throws IOException {
-    assertTrue(process(name).output().contains(line), "the log of " + name + " lacks " + line);
+  @Then("^the log of (server-\\d|agent-\\d) contains (.*)$")
+  public void logContains(String name, String line) throws IOException {
+    assertTrue(
+        process(name).output().contains(line), "the log of " + name + " does not contain: " + line);
   }
 
   @When("the data folder of {word} is lost")
@@ -105,7 +106,7 @@
     process(name).deleteData();
   }
 
-  @When("the disk of the first follower is lost and it is started again")
+  @When("the first follower loses its disk and is started again")
   public void loseDiskOfFollower() throws IOException {
     int follower = context.leader() == 1 ? 2 : 1;
     NodeProcess process = context.cluster.process("server-" + follower);
@@ -114,13 +115,13 @@
     process.start();
   }
 
-  @When("everything is ready again")
+  @When("every server and agent is ready again")
   public void awaitReady() {
     context.cluster.awaitReady();
   }
 
-  @When("^(the leader|server-\\d) is cut off$")
-  public void cutOff(String name) {
+  @When("^(the leader|server-\\d) is isolated from the network$")
+  public void isolate(String name) {
     String box = resolve(name);
     String ip = context.cluster.ipOf(box);
     context.cluster.relay(box).cutAll();
@@ -130,13 +131,13 @@
     }
   }
 
-  @When("^nothing reaches (the leader) any more, but it can send$")
-  public void cutInbound(String name) {
+  @When("^inbound traffic to (the leader) is blocked$")
+  public void blockInbound(String name) {
     context.cluster.relay(resolve(name)).cutAll();
   }
 
-  @When("^nothing that (the leader) sends arrives any more$")
-  public void cutOutbound(String name) {
+  @When("^outbound traffic from (the leader) is blocked$")
+  public void blockOutbound(String name) {
     String ip = context.cluster.ipOf(resolve(name));
     for (Relay relay : context.cluster.relays()) {
       relay.cut(ip, Relay.Direction.FORWARD);
@@ -144,27 +145,27 @@
   }
 
   @When("every link to agent-{int} is cut")
-  public void cutAgent(int agent) {
+  public void cutLinksOfAgent(int agent) {
     context.cluster.relay("agent-" + agent).cutAll();
   }
 
-  @When("every link heals")
+  @When("every link is healed")
   public void heal() {
     context.cluster.relays().forEach(Relay::heal);
   }
 
-  @When("every link takes {int} ms each way")
+  @When("every link has a delay of {int} ms in each direction")
   public void delay(int delayMs) {
     context.cluster.relays().forEach(r -> r.setDelayNanos(TimeUnit.MILLISECONDS.toNanos(delayMs)));
   }
 
-  @When("another server leads")
+  @When("another server is the leader")
   public void awaitAnotherLeader() {
-    LocalCluster.await("another server leads", () -> context.leader() != leader);
+    LocalCluster.await("another server is the leader", () -> context.leader() != leaderNumber);
   }
 
-  @When("^the others notice that (the leader|server-\\d) is gone$")
-  public void awaitEntryGone(String name) {
+  @When("^(the leader|server-\\d) has been declared gone$")
+  public void awaitServerGone(String name) {
     String box = resolve(name);
     awaitMember(box, "GONE");
   }
@@ -173,8 +174,8 @@
   public void awaitMemberForEveryone(String member, String state) {
     awaitMember(member, state);
     if (state.equals("DRAINING")) {
-      // The log knows it before the agent does, whose next heartbeat brings it.
-      LocalCluster.await(member + " takes no new work", () -> logsDraining(member));
+      // The replicated log records the drain first; the agent learns of it with its next heartbeat.
+      LocalCluster.await(member + " refuses new work", () -> logsDraining(member));
     }
   }
 
@@ -183,7 +184,7 @@
       String output = process(agent).output();
       return output.lastIndexOf("event=draining ") > output.lastIndexOf("event=takingWork ");
     } catch (IOException e) {
-      throw new UncheckedIOException("the output of " + agent + " can't be read", e);
+      throw new UncheckedIOException("can't read the output of " + agent, e);
     }
   }
 
@@ -208,15 +209,15 @@
   }
 
   @Then("{word} is not ready")
-  public void notReady(String name) {
+  public void awaitNotReady(String name) {
     int server = Integer.parseInt(name.substring("server-".length()));
     LocalCluster.await(name + " is not ready", () -> !context.isReady(server));
   }
 
-  @Then("all three replicas vote")
-  public void allVote() {
+  @Then("all three replicas are voters")
+  public void awaitThreeVoters() {
     LocalCluster.await(
-        "three replicas vote",
+        "three replicas are voters",
         () -> {
           int voters = 0;
           for (var row :
--- a/scenarios/src/test/java/io/hingehoist/scenario/CurrentScenario.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/CurrentScenario.java
@@ -1,17 +1,17 @@
 package io.hingehoist.scenario;
 
-/** Holds the deployment of the scenario that a thread runs, for all of its steps. */
+/** Holds the context of the scenario that the current thread runs, shared by all its steps. */
 final class CurrentScenario {
   private static final ThreadLocal<ScenarioContext> CURRENT =
       ThreadLocal.withInitial(ScenarioContext::new);
 
   private CurrentScenario() {}
 
-  static ScenarioContext current() {
+  static ScenarioContext context() {
     return CURRENT.get();
   }
 
-  static void end() {
+  static void clear() {
     CURRENT.remove();
   }
 }
--- a/scenarios/src/test/java/io/hingehoist/scenario/Invariants.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/Invariants.java
@@ -13,11 +13,11 @@
 import java.util.stream.Collectors;
 
 /**
- * What must hold after every scenario, read from what backend servers, callers and operators saw,
- * independently of hingehoist.
+ * The invariants that must hold after every scenario, checked against the records of backend
+ * servers, callers and operators, independently of hingehoist.
  */
 final class Invariants {
-  /** Payloads of repeatable requests, which may run more than once. */
+  /** The text that marks payloads of repeatable requests, which may run more than once. */
   static final String REPEATABLE = " repeatable-";
 
   private final ScenarioContext context;
@@ -29,9 +29,12 @@
   void check() throws IOException {
     checkStartedAtMostOnce();
     checkAnswers();
-    assertEquals(context.monitor.violations(), List.of(), "settings went back");
+    assertEquals(context.monitor.violations(), List.of(), "a settings revision decreased");
     List<Long> revisions = List.copyOf(context.acceptedRevisions);
-    assertEquals(new HashSet<>(revisions).size(), revisions.size(), "a revision was given twice");
+    assertEquals(
+        new HashSet<>(revisions).size(),
+        revisions.size(),
+        "a settings revision was assigned twice");
   }
 
   private Map<String, Integer> startsByPayload() throws IOException {
@@ -45,7 +48,7 @@
   private void checkStartedAtMostOnce() throws IOException {
     Map<String, Integer> startedTwice = startsByPayload();
     startedTwice.entrySet().removeIf(e -> e.getValue() < 2 || e.getKey().contains(REPEATABLE));
-    assertEquals(startedTwice, Map.of(), "started more than once");
+    assertEquals(startedTwice, Map.of(), "tasks started more than once");
   }
 
   private void checkAnswers() throws IOException {
@@ -55,26 +58,26 @@
     for (Map.Entry<String, List<Answered>> entry : byId.entrySet()) {
       JsonNode submission = context.submissions.get(entry.getKey());
       if (submission != null) {
-        checkAnswers(entry.getKey(), submission, entry.getValue(), starts);
+        checkAnswersTo(entry.getKey(), submission, entry.getValue(), starts);
       }
     }
   }
 
-  private static void checkAnswers(
+  private static void checkAnswersTo(
       String id, JsonNode submission, List<Answered> answers, Map<String, Integer> starts) {
     List<String> expected = expectedResults(submission);
     List<JsonNode> finalAnswers =
         answers.stream().filter(Answered::isFinal).map(Answered::body).toList();
     for (JsonNode answer : finalAnswers) {
-      assertEquals(answer, finalAnswers.getFirst(), "two answers to submission " + id);
+      assertEquals(answer, finalAnswers.getFirst(), "different final answers to submission " + id);
       if (answer.path("outcome").asText().equals("complete")) {
-        assertEquals(results(answer), expected, "not the whole answer to " + id);
+        assertEquals(results(answer), expected, "incomplete or wrong results of submission " + id);
       }
     }
     boolean allRefused = answers.stream().allMatch(a -> a.outcome().equals("refused"));
     if (allRefused) {
       boolean ran = payloads(submission).stream().anyMatch(starts::containsKey);
-      assertTrue(!ran, "refused but run: " + id);
+      assertTrue(!ran, "submission was refused but run: " + id);
     }
   }
 
--- a/scenarios/src/test/java/io/hingehoist/scenario/OperatorSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/OperatorSteps.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Steps about operators. */
+/** Steps that act as operators. */
 public final class OperatorSteps {
-  private final ScenarioContext context = CurrentScenario.current();
+  private final ScenarioContext context = CurrentScenario.context();
   private final List<CompletableFuture<Answered>> changes = new ArrayList<>();
 
   private static ObjectNode change(String changeId, long baseRevision, String key, String value) {
@@ -61,7 +61,7 @@
     set(key, value, context.anyReadyServer());
   }
 
-  @When("{int} changes of settings are made at a ready server")
+  @When("{int} settings changes are made at a ready server")
   public void manyChanges(int count) {
     int server = context.anyReadyServer();
     long baseRevision = currentRevision();
@@ -74,8 +74,9 @@
     }
   }
 
-  @When("operators at servers 1, 2 and 3 change {word} at once, each based on the same revision")
-  public void race(String key) {
+  @When(
+      "operators at servers 1, 2 and 3 change {word} concurrently, each based on the same revision")
+  public void changeConcurrently(String key) {
     long baseRevision = currentRevision();
     for (int server = 1; server <= 3; server++) {
       changes.add(
@@ -84,7 +85,7 @@
   }
 
   @When("operators at servers 1, 2 and 3 make different changes of {word} under the same change id")
-  public void raceId(String key) {
+  public void changeConcurrentlyUnderOneId(String key) {
     long baseRevision = currentRevision();
     for (int server = 1; server <= 3; server++) {
       changes.add(postChangeAsync(server, change("same-id", baseRevision, key, "1000" + server)));
@@ -92,7 +93,7 @@
   }
 
   @Then("exactly one of them is accepted")
-  public void oneAccepted() {
+  public void exactlyOneIsAccepted() {
     long accepted =
         changes.stream()
             .map(CompletableFuture::join)
@@ -109,8 +110,8 @@
     }
   }
 
-  @Then("every resend gets the same answer and the revision rose by one to {int}")
-  public void sameAnswer(int revision) {
+  @Then("every resend receives the same answer and the revision has increased by one to {int}")
+  public void everyResendIsAccepted(int revision) {
     for (CompletableFuture<Answered> change : changes) {
       assertEquals(change.join().body().path("result").asText(), "accepted");
       assertEquals(change.join().body().path("revision").asInt(), revision);
@@ -119,7 +120,7 @@
   }
 
   @Then("revision {int} is in force at every server")
-  public void inForce(int revision) {
+  public void awaitInForce(int revision) {
     for (int server = 1; server <= 3; server++) {
       String address = context.cluster.httpAddress(server);
       LocalCluster.await(
@@ -132,8 +133,8 @@
     }
   }
 
-  @Then("the audit trail holds {int} accepted and {int} refused changes of settings")
-  public void audit(int accepted, int refused) {
+  @Then("the audit trail holds {int} accepted and {int} refused settings changes")
+  public void auditTrailHolds(int accepted, int refused) {
     int[] found = new int[2];
     context
         .get(context.anyReadyServer(), "/v1/reports/history")
--- a/scenarios/src/test/java/io/hingehoist/scenario/RevisionMonitor.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/RevisionMonitor.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Watches the settings revision of every ready server, and notes each time that one falls. */
+/**
+ * Polls the settings revision of every ready server and records each decrease. Thread-safe; a
+ * thread of its own polls.
+ */
 final class RevisionMonitor implements AutoCloseable {
   private static final String PREFIX = "ready, settings revision ";
 
@@ -44,9 +47,10 @@
       return;
     }
     long revision = Long.parseLong(health.substring(PREFIX.length()));
-    Long before = latest.put(server, revision);
-    if (before != null && before > revision) {
-      violations.add("server-" + server + " served under " + revision + " after " + before);
+    Long previous = latest.put(server, revision);
+    if (previous != null && previous > revision) {
+      violations.add(
+          "server-" + server + " served settings revision " + revision + " after " + previous);
     }
   }
 
--- a/scenarios/src/test/java/io/hingehoist/scenario/ScenarioContext.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/ScenarioContext.java
@@ -24,7 +24,7 @@
 import java.util.function.IntSupplier;
 import java.util.function.Predicate;
 
-/** The cluster of one scenario, its callers and what they saw. */
+/** The state of one scenario: its cluster, the submissions of callers and the answers to them. */
 final class ScenarioContext {
   static final String SERVICE = "porting";
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -69,7 +69,7 @@
     return MAPPER.createObjectNode();
   }
 
-  /** Returns the payload of a task; every task of every job has its own. */
+  /** Returns the payload of a task, which is unique among all tasks of a scenario. */
   static String payload(String job, int index, int taskMs) {
     return "ms=" + taskMs + " " + job + "/" + index;
   }
@@ -95,16 +95,16 @@
   }
 
   /**
-   * Submits at a server, and comes back there as docs/API.md asks callers to, for as long as it has
-   * no lease just then and says that nothing ran. The answer after that is kept.
+   * Submits at a server, and retries there, as docs/API.md asks callers to, while the server
+   * refuses because it has no lease. Records the first other answer.
    */
   CompletableFuture<Answered> post(String id, int server, String path, JsonNode body) {
     return track(callWithRetry(Answered::isRefusedForMissingLease, () -> server, id, path, body));
   }
 
   /**
-   * Submits at some ready server, and comes back to one under the same id, for as long as the
-   * answer says that nothing ran for want of a lease, or that nothing is known.
+   * Submits at any ready server, and retries at one under the same id while the answer is a refusal
+   * for a missing lease or an unknown outcome.
    */
   CompletableFuture<Answered> postUntilOutcomeKnown(String id, String path, JsonNode body) {
     return track(callWithRetry(Answered::shouldRetry, this::anyReadyServer, id, path, body));
@@ -162,11 +162,11 @@
     }
   }
 
-  /** Returns a server that runs and has a lease. */
+  /** Returns the number of a server that is running and has a lease. */
   int anyReadyServer() {
     int[] found = new int[1];
     LocalCluster.await(
-        "some server is ready",
+        "any server is ready",
         () -> {
           for (int i = 1; i <= SERVERS && found[0] == 0; i++) {
             found[0] = isReady(i) ? i : 0;
@@ -181,11 +181,11 @@
         && cluster.body(cluster.httpAddress(server), "/health/ready").startsWith("ready");
   }
 
-  /** Returns the server whose replica leads, as a server that can be reached says. */
+  /** Returns the number of the server with the leading replica, as a ready server reports it. */
   int leader() {
     int[] found = new int[1];
     LocalCluster.await(
-        "a leader is known",
+        "the log leader is known",
         () -> {
           String address =
               get(anyReadyServer(), "/v1/reports/status").path("leaderAddress").asText();
@@ -199,6 +199,7 @@
     return found[0];
   }
 
+  /** Returns the number of tasks of a job that backend servers have started. */
   long startCount(String job) {
     try {
       return cluster.startLogLines().stream().filter(l -> l.contains(" " + job + "/")).count();
--- a/scenarios/src/test/java/io/hingehoist/scenario/package-info.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The steps of the scenarios, over real processes, and the checks that follow each of them.
+ * The Cucumber steps of the scenarios, which run real processes, and the invariants that are
+ * checked after each scenario.
  *
- * <p>Begin with {@code ScenarioContext}, which the steps share, and {@code Invariants}.
+ * <p>Start with {@code ScenarioContext}, which the steps share, and {@code Invariants}.
  */
 package io.hingehoist.scenario;
--- a/scenarios/src/test/resources/features/1-start-once.feature
+++ b/scenarios/src/test/resources/features/1-start-once.feature
@@ -24,7 +24,7 @@
     And agent-2 is thawed
     And job port is resubmitted at a ready server
     Then job port ends complete or failed
-    And every caller has an answer
+    And every caller has received an answer
 
   Scenario: The owning entry is killed after some tasks have started
     Given a cluster with 2 agents
@@ -34,7 +34,7 @@
     And job port is resubmitted at a ready server
     Then job port ends complete
     And job port has started 40 tasks
-    And every caller has an answer
+    And every caller has received an answer
 
   Scenario: The owning entry is killed after all results, before the outcome is committed
     Given a cluster with 2 agents
@@ -42,7 +42,7 @@
     And at least 10 tasks of job port have started
     And server-1 is frozen
     And server-3 is frozen
-    And every result of job port is there
+    And the backend servers have answered every task of job port
     And server-2 is killed
     And server-1 is thawed
     And server-3 is thawed
@@ -56,7 +56,7 @@
     And job port has ended
     And server-2 is killed
     And job port is resubmitted at a ready server
-    Then every caller has an answer
+    Then every caller has received an answer
     And job port ends complete
     And job port has started 10 tasks
 
@@ -69,18 +69,18 @@
     Then every answer to port is complete
     And job port has started 20 tasks
 
-  Scenario: The owning entry is frozen past its lease and wakes up
+  Scenario: The owning entry is frozen until its lease has expired, then thawed
     Given a cluster with 2 agents
     When job port of 60 tasks of 200 ms is submitted at server 2
     And at least 10 tasks of job port have started
     And server-2 is frozen
-    And the others notice that server-2 is gone
+    And server-2 has been declared gone
     And job port is resubmitted at a ready server
     And server-2 is thawed
     Then every answer to port is complete
     And job port has started 60 tasks
 
-  Scenario: The leader of the log is killed while a job runs
+  Scenario: The log leader is killed while a job runs
     Given a cluster with 2 agents
     When job port of 40 tasks of 200 ms is submitted at server 1
     And at least 5 tasks of job port have started
--- a/scenarios/src/test/resources/features/2-whole-or-failed.feature
+++ b/scenarios/src/test/resources/features/2-whole-or-failed.feature
@@ -16,7 +16,7 @@
     And agent-1 is started again
     Then every answer to port is failed
 
-  Scenario: An agent is frozen with tasks running and wakes up within its lease
+  Scenario: An agent is frozen with tasks running and thawed before its lease expires
     Given a cluster with 2 agents
     When job port of 20 tasks of 300 ms is submitted at server 1
     And at least 16 tasks of job port have started
@@ -24,7 +24,7 @@
     And agent-1 is thawed
     Then every answer to port is complete
 
-  Scenario: An agent is frozen until the others give it up, and wakes up
+  Scenario: An agent is frozen until it is declared gone, then thawed
     Given a cluster with 2 agents
     When job port of 20 tasks of 300 ms is submitted at server 1
     And at least 16 tasks of job port have started
@@ -34,7 +34,7 @@
     When agent-1 is thawed
     Then agent-1 is LIVE for everyone
 
-  Scenario: The quorum is lost and comes back while a job runs
+  Scenario: The quorum is lost and restored while a job runs
     Given a cluster with 2 agents
     When job port of 20 tasks of 500 ms is submitted at server 1
     And at least 10 tasks of job port have started
@@ -43,10 +43,10 @@
     And server-2 is started again
     And server-3 is started again
     Then job port ends complete or failed
-    And every caller has an answer
+    And every caller has received an answer
 
-  Scenario: A task that the backend server fails fails its job
-    Given a cluster with 1 agents
-    When request doomed that the backend server fails and must not be repeated is sent to server 1
+  Scenario: A task that fails at the backend server fails its job
+    Given a cluster with 1 agent
+    When request doomed that must not be repeated and fails at the backend server is sent to server 1
     Then every answer to doomed is failed
-    And job doomed has started 1 tasks
+    And job doomed has started 1 task
--- a/scenarios/src/test/resources/features/3-own-answer.feature
+++ b/scenarios/src/test/resources/features/3-own-answer.feature
@@ -1,9 +1,9 @@
 @holds-3
 Feature: Each caller receives the whole answer to its own request
 
-  Scenario: Answers overtake each other over slow links
+  Scenario: Answers arrive out of order over slow links
     Given a cluster with 3 agents
-    When every link takes 2 ms each way
+    When every link has a delay of 2 ms in each direction
     And 30 jobs named cross of 5 tasks of 200 ms are submitted at every server
     And 30 repeatable requests of 20 ms are sent to server 2
     Then every answer is complete
@@ -15,6 +15,6 @@
     And every link to agent-1 is cut
     And job next of 4 tasks of 50 ms is submitted at server 1
     And job next has ended
-    And every link heals
+    And every link is healed
     Then every answer is complete
     And job late has started 16 tasks
--- a/scenarios/src/test/resources/features/6-leaving.feature
+++ b/scenarios/src/test/resources/features/6-leaving.feature
@@ -21,7 +21,7 @@
     Then every answer to after is complete
     And no task of job after starts at agent-1
 
-  Scenario: The platform lists an agent as leaving, and takes it back
+  Scenario: The platform lists an agent as leaving, then as live again
     Given a cluster with 2 agents
     When the platform lists agent-2 as leaving
     Then agent-2 is DRAINING for everyone
--- a/scenarios/src/test/resources/features/9-bad-input.feature
+++ b/scenarios/src/test/resources/features/9-bad-input.feature
@@ -1,8 +1,8 @@
 @bad-input
-Feature: Bad input gets a clear error and loses nothing
+Feature: Bad input is answered with a clear error and causes no loss
 
   Scenario: Bad bodies, garbage and oversized frames, while a job runs
-    Given a cluster with 1 agents
+    Given a cluster with 1 agent
     When job port of 24 tasks of 300 ms is submitted at server 1
     And at least 8 tasks of job port have started
     Then these bodies are refused:
