--- a/benchmark/src/main/java/io/hingehoist/bench/Bench.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/Bench.java
@@ -224,7 +224,7 @@
     for (int server = 1; server <= 3; server++) {
       String address = cluster.httpAddress(server);
       LocalCluster.await(
-          "the placement policy is in force at " + address,
+          "the placement policy is in force",
           () -> cluster.body(address, "/health/ready").startsWith(expected));
     }
   }
--- a/benchmark/src/main/java/io/hingehoist/bench/BenchReport.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/BenchReport.java
@@ -40,12 +40,12 @@
     for (JsonNode bound : Bench.newMapper().readTree(bounds.toFile())) {
       String figure = bound.path("figure").asText();
       Optional<Double> value = figure(bound.path("run").asText(), figure);
-      Optional<Double> base = figure(bound.path("comparedWith").asText(), figure);
-      if (value.isEmpty() || base.isEmpty()) {
+      Optional<Double> baseValue = figure(bound.path("comparedWith").asText(), figure);
+      if (value.isEmpty() || baseValue.isEmpty()) {
         System.out.println("not compared, a run is missing: " + bound);
         continue;
       }
-      double ratio = value.get() / base.get();
+      double ratio = value.get() / baseValue.get();
       boolean withinBound = ratio <= bound.path("atMost").asDouble();
       System.out.printf(
           "%s: %s of %s is %.3f of %s, at most %.3f%n",
--- a/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
@@ -113,7 +113,7 @@
   }
 
   private String body(Arrival arrival, long sentWallMs) {
-    String common =
+    String commonFields =
         "\"caller\":\"bench\",\"submissionId\":\"%s-%d\",\"submittedAtMs\":%d,\"service\":\"porting\""
                 .formatted(runName, arrival.index(), sentWallMs)
             + ",\"deadlineAtMs\":"
@@ -123,11 +123,11 @@
       for (int i = 0; i < arrival.taskMs().size(); i++) {
         tasks.add("{\"payload\":\"" + payload(arrival, i) + "\"}");
       }
-      return "{" + common + ",\"tasks\":[" + String.join(",", tasks) + "]}";
+      return "{" + commonFields + ",\"tasks\":[" + String.join(",", tasks) + "]}";
     }
     boolean repeatable = arrival.kind() == Arrival.Kind.REPEATABLE;
     return "{%s,\"repeatable\":%s,\"payload\":\"%s\"}"
-        .formatted(common, repeatable, payload(arrival, 0));
+        .formatted(commonFields, repeatable, payload(arrival, 0));
   }
 
   private String payload(Arrival arrival, int task) {
--- a/benchmark/src/main/java/io/hingehoist/bench/LoadResult.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/LoadResult.java
@@ -39,8 +39,8 @@
     }
   }
 
-  void setMessages(MessageCounts messages) {
-    this.messages = messages;
+  void setMessages(MessageCounts sentMessages) {
+    messages = sentMessages;
   }
 
   double gapMs(Arrival.Kind kind, double percentile) {
--- a/benchmark/src/main/java/io/hingehoist/cluster/DaemonLauncher.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/DaemonLauncher.java
@@ -35,7 +35,7 @@
     }
     if (folder == null) {
       throw new IllegalStateException(
-          LAUNCHER + " not found in the working folder or in any folder above it");
+          "can't find " + LAUNCHER + " in the working folder or in any folder above it");
     }
     return folder.resolve(LAUNCHER).toString();
   }
--- a/benchmark/src/main/java/io/hingehoist/cluster/LocalCluster.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/LocalCluster.java
@@ -24,7 +24,8 @@
  * Servers, agents and stand-in backend servers on loopback addresses, with a relay in front of each
  * server and agent. Not thread-safe.
  *
- * <p>Each cluster reserves a loopback network of its own, so that several can run on one machine.
+ * <p>Each cluster reserves a loopback network of its own, 127.x, so that several can run on one
+ * machine.
  */
 public final class LocalCluster implements AutoCloseable {
   private static final int CONTROL_PORT = 7_100;
@@ -83,13 +84,13 @@
 
   private void addServer(int i) throws IOException {
     String name = "server-" + i;
-    Path home = Files.createDirectories(folder.resolve(name));
-    String extra =
+    Path nodeFolder = Files.createDirectories(folder.resolve(name));
+    String extraSettings =
         spec.controlSettings().entrySet().stream()
             .map(e -> "  " + e.getKey() + ": " + e.getValue() + "\n")
             .collect(Collectors.joining());
     Files.writeString(
-        home.resolve("settings.yaml"),
+        nodeFolder.resolve("settings.yaml"),
         """
         node:
           nodeId: %s
@@ -107,24 +108,24 @@
                 name,
                 i,
                 controlAddresses(),
-                home.resolve("data"),
+                nodeFolder.resolve("data"),
                 serverIp(i),
                 CONTROL_PORT,
                 serverIp(i),
                 CONTROL_BIND_PORT,
-                extra,
+                extraSettings,
                 serverIp(i),
                 HTTP_PORT));
     relays.put(name, Relay.open(serverIp(i), CONTROL_PORT, serverIp(i), CONTROL_BIND_PORT));
     callerRelays.put(name, Relay.open(serverIp(i), CALLER_PORT, serverIp(i), HTTP_PORT));
-    processes.put(name, process(name, home, spec.serverFlags()));
+    processes.put(name, process(name, nodeFolder, spec.serverFlags()));
   }
 
   private void addAgent(int i) throws IOException {
     String name = "agent-" + i;
-    Path home = Files.createDirectories(folder.resolve(name));
+    Path nodeFolder = Files.createDirectories(folder.resolve(name));
     Files.writeString(
-        home.resolve("settings.yaml"),
+        nodeFolder.resolve("settings.yaml"),
         """
         node:
           nodeId: %s
@@ -155,12 +156,14 @@
                 METRICS_PORT));
     relays.put(name, Relay.open(agentIp(i), AGENT_PORT, agentIp(i), AGENT_BIND_PORT));
     backends.put(
-        name, StandInBackend.start(name, agentIp(i), BACKEND_PORT, home.resolve("starts.log")));
-    processes.put(name, process(name, home, ""));
+        name,
+        StandInBackend.start(name, agentIp(i), BACKEND_PORT, nodeFolder.resolve("starts.log")));
+    processes.put(name, process(name, nodeFolder, ""));
   }
 
-  private NodeProcess process(String name, Path home, String flags) {
-    return NodeProcess.create(name, home, DaemonLauncher.builder(flags, "run", settingsFile(name)));
+  private NodeProcess process(String name, Path nodeFolder, String flags) {
+    return NodeProcess.create(
+        name, nodeFolder, DaemonLauncher.builder(flags, "run", settingsFile(name)));
   }
 
   /** Returns the settings file of a process. */
@@ -174,14 +177,14 @@
    * @throws IOException if the cluster can't be founded or a process can't be started
    */
   public void start() throws IOException {
-    NodeProcess founding =
+    NodeProcess foundingProcess =
         NodeProcess.create(
             "found",
             folder.resolve("server-1"),
             DaemonLauncher.builder("", "found", settingsFile("server-1")));
-    founding.start();
-    if (founding.awaitExit() != 0) {
-      throw new IOException("could not found the cluster: " + founding.output());
+    foundingProcess.start();
+    if (foundingProcess.awaitExit() != 0) {
+      throw new IOException("could not found the cluster: " + foundingProcess.output());
     }
     for (NodeProcess process : processes.values()) {
       process.start();
--- a/benchmark/src/main/java/io/hingehoist/demo/Demo.java
+++ b/benchmark/src/main/java/io/hingehoist/demo/Demo.java
@@ -53,26 +53,26 @@
     MessageCounts before = MessageCounts.of(cluster);
     double jobMs = submitJob();
     double mintMs = mintCredential();
-    MessageCounts used = MessageCounts.of(cluster).since(before);
+    MessageCounts sentCounts = MessageCounts.of(cluster).since(before);
     int waves = (TASKS + AGENTS * SLOTS - 1) / (AGENTS * SLOTS);
     System.out.printf(
         "response-time gap: job %.1f ms over %d ms of tasks, mint %.1f ms over %d ms%n",
         jobMs - waves * TASK_MS, waves * TASK_MS, mintMs - MINT_MS, MINT_MS);
     System.out.printf(
         "wasted messages: %d for %d completed tasks; by type: %s%n",
-        used.wasted(TASKS + 1), TASKS + 1, used.sent());
+        sentCounts.wasted(TASKS + 1), TASKS + 1, sentCounts.sent());
   }
 
-  private void applySetting(String[] words, int number) throws IOException {
+  private void applySetting(String[] fields, int number) throws IOException {
     ObjectNode change = MAPPER.createObjectNode();
     change.put("changeId", "demo-" + number);
     change.put("baseRevision", number);
-    change.put("path", words[0]);
-    change.put("key", words[1]);
-    change.put("value", words[2]);
+    change.put("path", fields[0]);
+    change.put("key", fields[1]);
+    change.put("value", fields[2]);
     change.put("operator", "demo");
     JsonNode answer = post(1, "/v1/settings", change);
-    System.out.println("setting " + String.join(" ", words) + ": " + answer);
+    System.out.println("setting " + String.join(" ", fields) + ": " + answer);
     check(answer.path("result").asText().equals("accepted"), answer);
   }
 
@@ -85,12 +85,12 @@
     }
     long startNanos = System.nanoTime();
     JsonNode answer = post(2, "/v1/jobs", job);
-    double tookMs = (System.nanoTime() - startNanos) / 1e6;
+    double responseMs = (System.nanoTime() - startNanos) / 1e6;
     System.out.println("job: " + answer);
     check(answer.path("outcome").asText().equals("complete"), answer);
     check(answer.path("results").size() == TASKS, answer);
     check(answer.path("results").get(7).asText().equals("done port +15145551007"), answer);
-    return tookMs;
+    return responseMs;
   }
 
   private double mintCredential() throws IOException {
@@ -99,16 +99,16 @@
     mint.put("payload", "ms=" + MINT_MS + " credential-for clinic/app");
     long startNanos = System.nanoTime();
     JsonNode answer = post(3, "/v1/requests", mint);
-    double tookMs = (System.nanoTime() - startNanos) / 1e6;
+    double responseMs = (System.nanoTime() - startNanos) / 1e6;
     System.out.println("mint: " + answer);
     check(answer.path("outcome").asText().equals("complete"), answer);
-    JsonNode again = post(1, "/v1/requests", mint);
-    System.out.println("the same mint at another entry: " + again);
-    check(again.equals(answer), again);
+    JsonNode repeated = post(1, "/v1/requests", mint);
+    System.out.println("the same mint at another entry: " + repeated);
+    check(repeated.equals(answer), repeated);
     long starts =
         cluster.startLogLines().stream().filter(line -> line.contains("credential-for")).count();
-    check(starts == 1, again);
-    return tookMs;
+    check(starts == 1, repeated);
+    return responseMs;
   }
 
   private static ObjectNode submission(String caller, String id) {
@@ -135,8 +135,8 @@
     }
   }
 
-  private static void check(boolean holds, JsonNode answer) {
-    if (!holds) {
+  private static void check(boolean condition, JsonNode answer) {
+    if (!condition) {
       throw new IllegalStateException("unexpected response: " + answer);
     }
   }
--- a/benchmark/src/main/java/io/hingehoist/standin/StandInBackend.java
+++ b/benchmark/src/main/java/io/hingehoist/standin/StandInBackend.java
@@ -96,8 +96,8 @@
     if (!payload.startsWith("ms=")) {
       return 0;
     }
-    String first = payload.split(" ", 2)[0];
-    return Long.parseLong(first.substring("ms=".length()));
+    String durationField = payload.split(" ", 2)[0];
+    return Long.parseLong(durationField.substring("ms=".length()));
   }
 
   private static String restOf(String payload) {
--- a/scenarios/src/test/java/io/hingehoist/scenario/CallerSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/CallerSteps.java
@@ -187,6 +187,6 @@
     boolean startedThere =
         context.cluster.startLogLines().stream()
             .anyMatch(l -> l.contains("\t" + agent + "\t") && l.contains(" " + id + "/"));
-    assertTrue(!startedThere, "a task of " + id + " started at " + agent);
+    assertTrue(!startedThere, id + " has a task that started at " + agent);
   }
 }
--- a/scenarios/src/test/java/io/hingehoist/scenario/ClusterSteps.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/ClusterSteps.java
@@ -184,7 +184,7 @@
       String output = process(agent).output();
       return output.lastIndexOf("event=draining ") > output.lastIndexOf("event=takingWork ");
     } catch (IOException e) {
-      throw new UncheckedIOException("can't read the output of " + agent, e);
+      throw new UncheckedIOException("the output of " + agent + " can't be read", e);
     }
   }
 
