--- a/benchmark/src/main/java/io/hingehoist/standin/Relay.java
+++ b/benchmark/src/main/java/io/hingehoist/standin/Relay.java
@@ -26,9 +26,9 @@
 public final class Relay implements AutoCloseable {
   /** The direction of data through a relay. */
   public enum Direction {
-    /** From the side that serverSocket the connection to the target. */
+    /** From the side that opened the connection to the target. */
     FORWARD,
-    /** From the target to the side that serverSocket the connection. */
+    /** From the target to the side that opened the connection. */
     BACKWARD
   }
 
