--- a/benchmark/src/main/java/io/hingehoist/bench/BenchRow.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/BenchRow.java
@@ -4,10 +4,11 @@
 import java.util.Set;
 
 /**
- * One line of the benchmark's table. Gaps are in milliseconds.
+ * One row of the benchmark's table. The gap of a response is its time beyond the duration of its
+ * longest task and the delay of the links; percentiles of gaps are in milliseconds.
  *
- * @param name what was measured, such as {@code twoChoices 70%}
- * @param note what else there is to say
+ * @param name the name of the load, such as {@code twoChoices 70%}
+ * @param note an additional remark, or empty
  */
 record BenchRow(
     String name,
@@ -27,8 +28,10 @@
     Map<String, Long> messagesByType,
     String note) {
 
-  /** How long a load runs before its throughput counts: the first tasks have to end. */
-  private static final long SETTLING_MS = 2_000;
+  /**
+   * The time from the start of a load that its throughput leaves out: the first tasks have to end.
+   */
+  private static final long RAMP_UP_MS = 2_000;
 
   private static final Set<String> EXTRA_TYPES =
       Set.of("RetireJobs", "RevokeTask", "RunRefused", "TaskNotStarted", "FenceJob", "FenceReport");
@@ -39,21 +42,21 @@
         result.gapMs(Arrival.Kind.REPEATABLE, 50),
         result.gapMs(Arrival.Kind.REPEATABLE, 99),
         result.gapMs(Arrival.Kind.REPEATABLE, 99.9),
-        result.gapMs(Arrival.Kind.ONCE, 50),
-        result.gapMs(Arrival.Kind.ONCE, 99),
+        result.gapMs(Arrival.Kind.NON_REPEATABLE, 50),
+        result.gapMs(Arrival.Kind.NON_REPEATABLE, 99),
         result.gapMs(Arrival.Kind.JOB, 50),
         result.gapMs(Arrival.Kind.JOB, 99),
         result.messagesPerTask(),
         result.wastedPerTask(),
         result.bytesPerTask(),
-        result.tasksPerSecond(SETTLING_MS, (long) (1_000 * seconds)),
+        result.tasksPerSecond(RAMP_UP_MS, (long) (1_000 * seconds)),
         result.lateAnswers(),
         result.outcomes(),
         result.messages().sent(),
         note);
   }
 
-  /** Returns the messages a task that are no start and no answer, by type. */
+  /** Returns the number of messages other than starts and results, by type. */
   private String extraMessages() {
     StringBuilder text = new StringBuilder();
     messagesByType.forEach(
--- a/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/LoadGenerator.java
@@ -15,7 +15,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Sends a plan at its times, whatever has become of what was sent before. */
+/**
+ * Sends the submissions of a plan at their scheduled times, independently of earlier responses
+ * (open loop).
+ */
 final class LoadGenerator {
   static final long DEADLINE_MS = 5_000;
   private static final long LATE_MARGIN_MS = 100;
@@ -33,7 +36,8 @@
   /**
    * Creates a generator.
    *
-   * @param networkMs the time that the links take of every answer, which no system could save
+   * @param networkMs the delay that the links add to every response, which no dispatcher could
+   *     avoid
    */
   LoadGenerator(LocalCluster cluster, double networkMs, String runName) {
     this.cluster = cluster;
@@ -41,38 +45,38 @@
     this.runName = runName;
   }
 
-  /** Sends a plan and waits for every answer. */
+  /** Sends the submissions of a plan and waits for all responses. */
   LoadResult run(List<Arrival> plan) {
     LoadResult result = new LoadResult();
     MessageCounts before = MessageCounts.of(cluster);
     List<CompletableFuture<Void>> answers = new ArrayList<>();
     long startNanos = System.nanoTime();
     for (Arrival arrival : plan) {
-      parkUntil(startNanos + arrival.atNanos());
-      answers.add(send(arrival, arrival.number(), startNanos, result));
+      parkUntil(startNanos + arrival.sendAtNanos());
+      answers.add(send(arrival, arrival.index(), startNanos, result));
     }
     CompletableFuture.allOf(answers.toArray(new CompletableFuture<?>[0])).join();
     result.setMessages(MessageCounts.of(cluster).since(before));
     return result;
   }
 
-  private static void parkUntil(long nanos) {
-    long left = nanos - System.nanoTime();
-    while (left > 0) {
-      LockSupport.parkNanos(left);
-      left = nanos - System.nanoTime();
+  private static void parkUntil(long deadlineNanos) {
+    long remainingNanos = deadlineNanos - System.nanoTime();
+    while (remainingNanos > 0) {
+      LockSupport.parkNanos(remainingNanos);
+      remainingNanos = deadlineNanos - System.nanoTime();
     }
   }
 
-  /** As a balancer does, sends to the next server what finds no connection. */
+  /** Sends a submission; after a failed attempt to the next server, as a load balancer does. */
   private CompletableFuture<Void> send(
-      Arrival arrival, int turn, long startNanos, LoadResult result) {
-    int server = turn % cluster.shape().servers() + 1;
+      Arrival arrival, int attempt, long startNanos, LoadResult result) {
+    int server = attempt % cluster.spec().servers() + 1;
     String path = arrival.kind() == Arrival.Kind.JOB ? "/v1/jobs" : "/v1/requests";
     URI uri = URI.create("http://" + cluster.callerAddress(server) + path);
     long sentWallMs =
         System.currentTimeMillis()
-            - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos - arrival.atNanos());
+            - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos - arrival.sendAtNanos());
     HttpRequest request =
         HttpRequest.newBuilder(uri)
             .timeout(Duration.ofMillis(4 * DEADLINE_MS))
@@ -83,24 +87,24 @@
         .handle(
             (response, failure) -> {
               boolean mayResend =
-                  failure != null && turn < arrival.number() + cluster.shape().servers();
+                  failure != null && attempt < arrival.index() + cluster.spec().servers();
               if (mayResend) {
-                return send(arrival, turn + 1, startNanos, result);
+                return send(arrival, attempt + 1, startNanos, result);
               }
               String outcome = failure != null ? "broken" : outcomeOf(response.body());
-              note(arrival, outcome, startNanos, result);
+              recordAnswer(arrival, outcome, startNanos, result);
               return CompletableFuture.<Void>completedFuture(null);
             })
         .thenCompose(next -> next);
   }
 
-  private void note(Arrival arrival, String outcome, long startNanos, LoadResult result) {
-    long sinceStart = System.nanoTime() - startNanos;
-    long tookMicros = TimeUnit.NANOSECONDS.toMicros(sinceStart - arrival.atNanos());
+  private void recordAnswer(Arrival arrival, String outcome, long startNanos, LoadResult result) {
+    long sinceStartNanos = System.nanoTime() - startNanos;
+    long responseMicros = TimeUnit.NANOSECONDS.toMicros(sinceStartNanos - arrival.sendAtNanos());
     long idealMicros = (long) (1_000 * (arrival.idealMs() + networkMs));
-    boolean late = tookMicros > 1_000 * (DEADLINE_MS + LATE_MARGIN_MS + networkMs);
-    long endMs = TimeUnit.NANOSECONDS.toMillis(sinceStart);
-    result.note(arrival, outcome, endMs, tookMicros - idealMicros, late);
+    boolean late = responseMicros > 1_000 * (DEADLINE_MS + LATE_MARGIN_MS + networkMs);
+    long endMs = TimeUnit.NANOSECONDS.toMillis(sinceStartNanos);
+    result.recordAnswer(arrival, outcome, endMs, responseMicros - idealMicros, late);
   }
 
   private static String outcomeOf(String body) {
@@ -109,9 +113,9 @@
   }
 
   private String body(Arrival arrival, long sentWallMs) {
-    String common =
+    String commonFields =
         "\"caller\":\"bench\",\"submissionId\":\"%s-%d\",\"submittedAtMs\":%d,\"service\":\"porting\""
-                .formatted(runName, arrival.number(), sentWallMs)
+                .formatted(runName, arrival.index(), sentWallMs)
             + ",\"deadlineAtMs\":"
             + (sentWallMs + DEADLINE_MS);
     if (arrival.kind() == Arrival.Kind.JOB) {
@@ -119,14 +123,14 @@
       for (int i = 0; i < arrival.taskMs().size(); i++) {
         tasks.add("{\"payload\":\"" + payload(arrival, i) + "\"}");
       }
-      return "{" + common + ",\"tasks\":[" + String.join(",", tasks) + "]}";
+      return "{" + commonFields + ",\"tasks\":[" + String.join(",", tasks) + "]}";
     }
     boolean repeatable = arrival.kind() == Arrival.Kind.REPEATABLE;
     return "{%s,\"repeatable\":%s,\"payload\":\"%s\"}"
-        .formatted(common, repeatable, payload(arrival, 0));
+        .formatted(commonFields, repeatable, payload(arrival, 0));
   }
 
   private String payload(Arrival arrival, int task) {
-    return "ms=%d %s-%d/%d".formatted(arrival.taskMs().get(task), runName, arrival.number(), task);
+    return "ms=%d %s-%d/%d".formatted(arrival.taskMs().get(task), runName, arrival.index(), task);
   }
 }
--- a/scenarios/src/test/java/io/hingehoist/scenario/Deployment.java
+++ b/scenarios/src/test/java/io/hingehoist/scenario/ScenarioContext.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.hingehoist.cluster.ClusterShape;
+import io.hingehoist.cluster.ClusterSpec;
 import io.hingehoist.cluster.LocalCluster;
 import java.io.IOException;
 import java.net.URI;
@@ -24,10 +24,10 @@
 import java.util.function.IntSupplier;
 import java.util.function.Predicate;
 
-/** The cluster of one scenario, its callers and what they saw. */
-final class Deployment {
+/** The state of one scenario: its cluster, the submissions of callers and the answers to them. */
+final class ScenarioContext {
   static final String SERVICE = "porting";
-  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final Duration TIMEOUT = Duration.ofSeconds(90);
   private static final long MIN_RETRY_MS = 50;
   private static final int SLOTS = 8;
@@ -35,22 +35,22 @@
 
   final HttpClient http = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(5)).build();
   final List<Answered> answers = Collections.synchronizedList(new ArrayList<>());
-  final List<CompletableFuture<Answered>> underway =
+  final List<CompletableFuture<Answered>> pendingAnswers =
       Collections.synchronizedList(new ArrayList<>());
   final Map<String, ObjectNode> submissions = new HashMap<>();
   final List<Long> acceptedRevisions = Collections.synchronizedList(new ArrayList<>());
   Path folder;
   Path platformList;
   LocalCluster cluster;
-  RevisionWatch watch;
+  RevisionMonitor monitor;
 
   void create(int agents, Map<String, String> control) throws IOException {
     folder = Files.createTempDirectory("scenario");
     platformList = folder.resolve("boxes.json");
     Files.writeString(platformList, "{\"boxes\": []}");
-    ClusterShape shape =
-        ClusterShape.of(SERVERS, agents, SERVICE, SLOTS)
-            .shortLived()
+    ClusterSpec spec =
+        ClusterSpec.of(SERVERS, agents, SERVICE, SLOTS)
+            .withC1CompilerOnly()
             .withControl("electionTimeoutMs", "400")
             .withControl("heartbeatMs", "60")
             .withControl("leaseMs", "1500")
@@ -58,27 +58,27 @@
             .withControl("platformList", platformList.toString())
             .withControl("platformListMs", "200");
     for (Map.Entry<String, String> field : control.entrySet()) {
-      shape = shape.withControl(field.getKey(), field.getValue());
+      spec = spec.withControl(field.getKey(), field.getValue());
     }
-    cluster = LocalCluster.create(folder, shape);
+    cluster = LocalCluster.create(folder, spec);
     cluster.start();
-    watch = RevisionWatch.start(this);
+    monitor = RevisionMonitor.start(this);
   }
 
   static ObjectNode newObject() {
-    return JSON.createObjectNode();
+    return MAPPER.createObjectNode();
   }
 
-  /** Returns the payload of a task; every task of every job has its own. */
-  static String payload(String job, int index, int millis) {
-    return "ms=" + millis + " " + job + "/" + index;
+  /** Returns the payload of a task, which is unique among all tasks of a scenario. */
+  static String payload(String job, int index, int taskMs) {
+    return "ms=" + taskMs + " " + job + "/" + index;
   }
 
-  ObjectNode job(String id, int tasks, int millis) {
+  ObjectNode job(String id, int tasks, int taskMs) {
     ObjectNode body = submission(id);
     var list = body.putArray("tasks");
     for (int i = 0; i < tasks; i++) {
-      list.addObject().put("payload", payload(id, i, millis));
+      list.addObject().put("payload", payload(id, i, taskMs));
     }
     submissions.put(id, body);
     return body;
@@ -95,40 +95,41 @@
   }
 
   /**
-   * Submits at a server, and comes back there as docs/API.md asks callers to, for as long as it has
-   * no lease just then and says that nothing ran. The answer after that is kept.
+   * Submits at a server, and retries there, as docs/API.md asks callers to, while the server
+   * refuses because it has no lease. Records the first other answer.
    */
   CompletableFuture<Answered> post(String id, int server, String path, JsonNode body) {
-    return keep(callUntil(Answered::lacksLease, () -> server, id, path, body));
+    return track(callWithRetry(Answered::isRefusedForMissingLease, () -> server, id, path, body));
   }
 
   /**
-   * Submits at some ready server, and comes back to one under the same id, for as long as the
-   * answer says that nothing ran for want of a lease, or that nothing is known.
+   * Submits at any ready server, and retries at one under the same id while the answer is a refusal
+   * for a missing lease or an unknown outcome.
    */
-  CompletableFuture<Answered> postUntilKnown(String id, String path, JsonNode body) {
-    return keep(callUntil(Answered::asksToComeBack, this::anyReadyServer, id, path, body));
+  CompletableFuture<Answered> postUntilOutcomeKnown(String id, String path, JsonNode body) {
+    return track(callWithRetry(Answered::shouldRetry, this::anyReadyServer, id, path, body));
   }
 
-  private CompletableFuture<Answered> keep(CompletableFuture<Answered> answer) {
-    underway.add(answer);
+  private CompletableFuture<Answered> track(CompletableFuture<Answered> answer) {
+    pendingAnswers.add(answer);
     answer.thenAccept(answers::add);
     return answer;
   }
 
-  private CompletableFuture<Answered> callUntil(
-      Predicate<Answered> comesBack, IntSupplier server, String id, String path, JsonNode body) {
+  private CompletableFuture<Answered> callWithRetry(
+      Predicate<Answered> retryIf, IntSupplier server, String id, String path, JsonNode body) {
     return call(id, server.getAsInt(), path, body)
         .thenCompose(
             answer ->
-                comesBack.test(answer)
+                retryIf.test(answer)
                     ? CompletableFuture.supplyAsync(
-                            () -> callUntil(comesBack, server, id, path, body), laterBy(answer))
+                            () -> callWithRetry(retryIf, server, id, path, body),
+                            retryExecutor(answer))
                         .thenCompose(next -> next)
                     : CompletableFuture.completedFuture(answer));
   }
 
-  private static Executor laterBy(Answered answer) {
+  private static Executor retryExecutor(Answered answer) {
     long retryAfterMs = Math.max(MIN_RETRY_MS, answer.body().path("retryAfterMs").asLong());
     return CompletableFuture.delayedExecutor(retryAfterMs, TimeUnit.MILLISECONDS);
   }
@@ -155,17 +156,17 @@
 
   private static JsonNode parse(String text) {
     try {
-      return text.isEmpty() ? newObject() : JSON.readTree(text);
+      return text.isEmpty() ? newObject() : MAPPER.readTree(text);
     } catch (IOException e) {
       return newObject().put("notJson", text);
     }
   }
 
-  /** Returns a server that runs and has a lease. */
+  /** Returns the number of a server that is running and has a lease. */
   int anyReadyServer() {
     int[] found = new int[1];
     LocalCluster.await(
-        "some server is ready",
+        "any server is ready",
         () -> {
           for (int i = 1; i <= SERVERS && found[0] == 0; i++) {
             found[0] = isReady(i) ? i : 0;
@@ -180,11 +181,11 @@
         && cluster.body(cluster.httpAddress(server), "/health/ready").startsWith("ready");
   }
 
-  /** Returns the server whose replica leads, as a server that can be reached says. */
+  /** Returns the number of the server with the leading replica, as a ready server reports it. */
   int leader() {
     int[] found = new int[1];
     LocalCluster.await(
-        "a leader is known",
+        "the log leader is known",
         () -> {
           String address =
               get(anyReadyServer(), "/v1/reports/status").path("leaderAddress").asText();
@@ -198,9 +199,10 @@
     return found[0];
   }
 
-  long starts(String job) {
+  /** Returns the number of tasks of a job that backend servers have started. */
+  long startCount(String job) {
     try {
-      return cluster.startLines().stream().filter(l -> l.contains(" " + job + "/")).count();
+      return cluster.startLogLines().stream().filter(l -> l.contains(" " + job + "/")).count();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -211,8 +213,8 @@
   }
 
   void close() throws IOException {
-    if (watch != null) {
-      watch.close();
+    if (monitor != null) {
+      monitor.close();
     }
     if (cluster != null) {
       for (var process : cluster.processes().values()) {
