--- a/bin/java-home.sh
+++ b/bin/java-home.sh
@@ -1,4 +1,4 @@
-# Finds a JDK of 23 or newer and sets java_bin. Sourced by the scripts in this folder and beside it.
+# Finds a JDK of 23 or newer and sets java_bin. Sourced by the scripts in this folder and in its parent.
 find_java() {
   local candidate version
   for candidate in "${JAVA_HOME:-}" /usr/lib/jvm/*; do
