--- a/benchmark/src/main/java/io/hingehoist/bench/ArrivalPlan.java
+++ b/benchmark/src/main/java/io/hingehoist/bench/ArrivalPlan.java
@@ -43,11 +43,11 @@
   }
 
   private static Arrival arrival(int index, double atSeconds, Random random) {
-    int percentile = random.nextInt(100);
+    int percent = random.nextInt(100);
     Arrival.Kind kind =
-        percentile < 60
+        percent < 60
             ? Arrival.Kind.REPEATABLE
-            : percentile < 85 ? Arrival.Kind.NON_REPEATABLE : Arrival.Kind.JOB;
+            : percent < 85 ? Arrival.Kind.NON_REPEATABLE : Arrival.Kind.JOB;
     int tasks = kind == Arrival.Kind.JOB ? JOB_TASKS : 1;
     List<Integer> taskMs = new ArrayList<>();
     for (int i = 0; i < tasks; i++) {
--- a/benchmark/src/main/java/io/hingehoist/cluster/NodeProcess.java
+++ b/benchmark/src/main/java/io/hingehoist/cluster/NodeProcess.java
@@ -119,7 +119,7 @@
     return folder.resolve("data");
   }
 
-  /** Returns the standard output and standard error of the process since its first start. */
+  /** Returns the standard output and standard error that have been written to the log so far. */
   public String output() throws IOException {
     return Files.exists(output) ? Files.readString(output) : "";
   }
