--- a/core/src/main/java/io/hingehoist/run/host/CrashLog.java
+++ b/core/src/main/java/io/hingehoist/run/host/CrashLog.java
@@ -18,9 +18,9 @@
 
   private static final int MAX_CRASHES = 16;
 
-  private record Crash(String workerId, long crashedAtMs, boolean again, List<String> tasks) {
+  private record Crash(String workerId, long crashedAtMs, boolean repeated, List<String> tasks) {
     private WorkerCrashed toMessage(long nowMs) {
-      return new WorkerCrashed(workerId, nowMs - crashedAtMs, again, tasks);
+      return new WorkerCrashed(workerId, nowMs - crashedAtMs, repeated, tasks);
     }
   }
 
@@ -34,9 +34,9 @@
   WorkerCrashed add(WorkerInstance instance, long crashedAtMs, long nowMs) {
     removeExpired(nowMs);
     List<String> tasks = instance.runs().stream().map(run -> run.run.task()).distinct().toList();
-    boolean again =
+    boolean repeated =
         !newestFirst.isEmpty() && Collections.disjoint(newestFirst.getFirst().tasks(), tasks);
-    Crash crash = new Crash(instance.id(), crashedAtMs, again, tasks);
+    Crash crash = new Crash(instance.id(), crashedAtMs, repeated, tasks);
     newestFirst.addFirst(crash);
     if (newestFirst.size() > MAX_CRASHES) {
       newestFirst.removeLast();
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -133,8 +133,8 @@
   }
 
   /** Prevents starts on every session until its owner has answered a probe. */
-  void markAllUnverified(long suspendedMs, long nowMs) {
-    outbox.logDecision("mayHaveSlept", "", hostId, "ms=" + suspendedMs);
+  void markAllUnverified(long sleptMs, long nowMs) {
+    outbox.logDecision("mayHaveSlept", "", hostId, "ms=" + sleptMs);
     for (OwnerSession session : sessions.all()) {
       probeNumber++;
       session.markUnverified(nowMs);
--- a/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
+++ b/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
@@ -18,7 +18,7 @@
  */
 final class ProgressMonitor {
   /** The rate at which a worker's runs advance. */
-  enum Pace {
+  enum Rate {
     USUAL,
     SLOW,
     STALLED
@@ -77,7 +77,7 @@
   private double expectedPercent;
   private long windowStartedAtMs;
   private double usualRate = 1;
-  private Pace pace = Pace.USUAL;
+  private Rate rate = Rate.USUAL;
   private boolean slowBefore;
 
   /** Records the progress of a run. */
@@ -111,7 +111,7 @@
     jobs.add(TaskNames.jobIdOf(run.run.task()));
   }
 
-  /** Judges the recorded progress if there is enough of it; returns whether the pace changed. */
+  /** Judges the recorded progress if there is enough of it; returns whether the rate changed. */
   boolean judge(long nowMs) {
     boolean enough =
         runMs >= MIN_RUN_MS
@@ -120,12 +120,12 @@
     if (!enough) {
       return false;
     }
-    double rate = workMs / runMs;
-    Pace judged = confirmed(paceOf(rate / usualRate));
+    double observedRate = workMs / runMs;
+    Rate judged = confirmed(rateOf(observedRate / usualRate));
     startWindow(nowMs);
-    boolean changed = judged != pace;
-    if (judged == Pace.USUAL) {
-      usualRate += USUAL_WEIGHT * (rate - usualRate);
+    boolean changed = judged != rate;
+    if (judged == Rate.USUAL) {
+      usualRate += USUAL_WEIGHT * (observedRate - usualRate);
       pause.reset();
     } else {
       if (isOnTrial() && !pause.isActive(nowMs)) {
@@ -133,7 +133,7 @@
       }
       pause.start(nowMs);
     }
-    pace = judged;
+    rate = judged;
     return changed;
   }
 
@@ -141,18 +141,18 @@
    * Reports slowness only after two consecutive observations: in a simulated day, about half of the
    * single observations were due to the wrong estimate of some job.
    */
-  private Pace confirmed(Pace observed) {
-    boolean confirmed = observed != Pace.SLOW || slowBefore;
-    slowBefore = observed == Pace.SLOW;
-    return confirmed ? observed : pace;
+  private Rate confirmed(Rate observed) {
+    boolean confirmed = observed != Rate.SLOW || slowBefore;
+    slowBefore = observed == Rate.SLOW;
+    return confirmed ? observed : rate;
   }
 
-  private Pace paceOf(double share) {
+  private Rate rateOf(double share) {
     if (share < STALLED_SHARE) {
-      return Pace.STALLED;
+      return Rate.STALLED;
     }
     double slowShare = jobs.size() > 1 ? SLOW_SHARE : SLOW_SHARE_OF_ONE_JOB;
-    return share < slowShare ? Pace.SLOW : Pace.USUAL;
+    return share < slowShare ? Rate.SLOW : Rate.USUAL;
   }
 
   private void startWindow(long nowMs) {
@@ -163,13 +163,13 @@
     windowStartedAtMs = nowMs;
   }
 
-  /** Returns the pace; after its pause a worker counts as usual until the next judgement. */
-  Pace pace(long nowMs) {
-    return pause.isActive(nowMs) ? pace : Pace.USUAL;
+  /** Returns the rate; after its pause a worker counts as usual until the next judgement. */
+  Rate rate(long nowMs) {
+    return pause.isActive(nowMs) ? rate : Rate.USUAL;
   }
 
   /** Returns whether the worker is on trial: a few runs are enough to find out if it recovered. */
   boolean isOnTrial() {
-    return pace != Pace.USUAL;
+    return rate != Rate.USUAL;
   }
 }
--- a/core/src/main/java/io/hingehoist/run/host/RunController.java
+++ b/core/src/main/java/io/hingehoist/run/host/RunController.java
@@ -137,7 +137,7 @@
   private void callStart(WorkerInstance instance, HostedRun run, long nowMs) {
     run.lastCallAtMs = nowMs;
     long deadlineMs = instance.grantLease(bounds.latestEndMs(instance, nowMs), nowMs);
-    run.startCallsExpireAtMs = instance.leaseOverAtMs();
+    run.startCallsExpireAtMs = instance.runsOverAtMs();
     outbox.add(
         new HostEffect.StartCall(
             instance.id(),
--- a/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
@@ -213,19 +213,19 @@
    * Handles a possible suspend of this box: no owner's lease counts until the owner answers a
    * probe.
    */
-  public void mayHaveSlept(long suspendedMs, long nowMs) {
-    sessionManager.markAllUnverified(suspendedMs, nowMs);
+  public void mayHaveSlept(long sleptMs, long nowMs) {
+    sessionManager.markAllUnverified(sleptMs, nowMs);
   }
 
   /** Handles an owner's proof that its session still exists. */
-  public void sessionProven(long sessionId, long number, long sentAtMs, long nowMs) {
+  public void proofReceived(long sessionId, long number, long sentAtMs, long nowMs) {
     sessions
         .find(sessionId)
         .ifPresent(session -> sessionManager.proofReceived(session, number, sentAtMs, nowMs));
   }
 
   /** Answers an owner's probe with a proof that its session still exists. */
-  public void sessionProbed(long sessionId, long number, long nowMs) {
+  public void probeReceived(long sessionId, long number, long nowMs) {
     sessions
         .find(sessionId)
         .ifPresent(session -> sessionManager.probeReceived(session, number, nowMs));
--- a/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
@@ -31,7 +31,7 @@
   private Room used = Rooms.none();
   private long clockMs;
   private long clockReadAtMs;
-  private long leaseOverAtMs;
+  private long runsOverAtMs;
   long lastSeen;
   boolean silent;
 
@@ -113,24 +113,24 @@
    *     worker's lease never becomes shorter
    */
   long grantLease(long overAtMs, long nowMs) {
-    leaseOverAtMs = Math.max(leaseOverAtMs, overAtMs);
-    return minClockMs(nowMs) + timing.workerLeaseEndingWithinMs(leaseOverAtMs - nowMs);
+    runsOverAtMs = Math.max(runsOverAtMs, overAtMs);
+    return minClockMs(nowMs) + timing.workerLeaseEndingWithinMs(runsOverAtMs - nowMs);
   }
 
-  boolean isLeaseOver(long nowMs) {
-    return nowMs >= leaseOverAtMs;
+  boolean areRunsOver(long nowMs) {
+    return nowMs >= runsOverAtMs;
   }
 
   /** Returns when all runs are over under the leases granted so far. */
-  long leaseOverAtMs() {
-    return leaseOverAtMs;
+  long runsOverAtMs() {
+    return runsOverAtMs;
   }
 
   /** Returns the assumed state of this instance for the log. */
   String describeState(long nowMs) {
     long unanswered = runs.values().stream().filter(run -> run.unansweredStarts > 0).count();
     return "runs=%d withUnansweredStarts=%d leaseLeftMs=%d lostHolds=%d"
-        .formatted(runs.size(), unanswered, Math.max(0, leaseOverAtMs - nowMs), lostPolls);
+        .formatted(runs.size(), unanswered, Math.max(0, runsOverAtMs - nowMs), lostPolls);
   }
 
   // Runs and room.
@@ -169,7 +169,7 @@
   /** Records a run that succeeded. */
   void recordSuccess(HostedRun run, long nowMs) {
     progress.recordSuccess(run, nowMs);
-    if (progress.pace(nowMs) == ProgressMonitor.Pace.USUAL && !progress.isOnTrial()) {
+    if (progress.rate(nowMs) == ProgressMonitor.Rate.USUAL && !progress.isOnTrial()) {
       pace.recordSuccess(nowMs - run.orderedAtMs, run.estimateMs);
     }
   }
@@ -225,7 +225,7 @@
     if (failures.isFailing(nowMs)) {
       return WorkerState.FAILING;
     }
-    return switch (progress.pace(nowMs)) {
+    return switch (progress.rate(nowMs)) {
       case USUAL -> WorkerState.READY;
       case SLOW -> WorkerState.SLOW;
       case STALLED -> WorkerState.STALLED;
--- a/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
@@ -84,7 +84,7 @@
             && !instance.silent
             && !instance.hasUnknownRuns
             && instance.hasRuns()
-            && overAtMs > instance.leaseOverAtMs();
+            && overAtMs > instance.runsOverAtMs();
     long deadlineMs = renewsLease ? instance.grantLease(overAtMs, nowMs) : 0;
     outbox.add(
         new HostEffect.PollCall(
@@ -224,7 +224,7 @@
           .ifPresent(run -> instance.progress.recordProgress(run, entry.percent(), nowMs));
     }
     if (instance.progress.judge(nowMs)) {
-      outbox.logDecision("workerPace", "", instance.id(), "pace=" + instance.progress.pace(nowMs));
+      outbox.logDecision("workerPace", "", instance.id(), "pace=" + instance.progress.rate(nowMs));
     }
   }
 
@@ -286,7 +286,7 @@
 
   /** Ends the runs of a silent worker whose lease is over: the worker has killed them by then. */
   void endRunsAfterLease(WorkerInstance instance, long nowMs) {
-    if (!instance.silent || !instance.isLeaseOver(nowMs)) {
+    if (!instance.silent || !instance.areRunsOver(nowMs)) {
       return;
     }
     // A start call to a former instance may be carried out after the lease of this one.
--- a/core/src/main/java/io/hingehoist/run/owner/FollowedHosts.java
+++ b/core/src/main/java/io/hingehoist/run/owner/FollowedHosts.java
@@ -56,9 +56,9 @@
    * last characters have adjacent hash codes, which would give every owner the same order of hosts.
    */
   private static int mixBits(int hash) {
-    int mixBits = (hash ^ (hash >>> 16)) * 0x85ebca6b;
-    mixBits = (mixBits ^ (mixBits >>> 13)) * 0xc2b2ae35;
-    return mixBits ^ (mixBits >>> 16);
+    int mixed = (hash ^ (hash >>> 16)) * 0x85ebca6b;
+    mixed = (mixed ^ (mixed >>> 13)) * 0xc2b2ae35;
+    return mixed ^ (mixed >>> 16);
   }
 
   void remove(String hostId) {
--- a/core/src/main/java/io/hingehoist/run/owner/HostView.java
+++ b/core/src/main/java/io/hingehoist/run/owner/HostView.java
@@ -18,7 +18,7 @@
   final String hostId;
   private final Map<String, WorkerView> workers = new LinkedHashMap<>();
   private long lastOrder;
-  private long lastHeardAtMs;
+  private long lastUpdateAtMs;
 
   HostView(String hostId) {
     this.hostId = hostId;
@@ -29,13 +29,13 @@
   }
 
   /** Records the arrival of a message from the host. */
-  void recordHeard(long nowMs) {
-    lastHeardAtMs = nowMs;
+  void recordUpdateTime(long nowMs) {
+    lastUpdateAtMs = nowMs;
   }
 
   /** Returns the time of the host's last message, up to which the state of its runs is known. */
-  long lastHeardAtMs() {
-    return lastHeardAtMs;
+  long lastUpdateAtMs() {
+    return lastUpdateAtMs;
   }
 
   void update(HostRows rows) {
--- a/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
+++ b/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
@@ -221,26 +221,26 @@
   /**
    * Handles the final end of a session.
    *
-   * @param silent whether the host may still consider this owner's lease valid
-   * @param leaseSinceMs the latest time at which that lease may have been renewed, or at which the
-   *     host is known to have had no lease any more
+   * @param mayHoldLease whether the host may still consider this owner's lease valid
+   * @param leaseRenewedAtMs the latest time at which that lease may have been renewed, or at which
+   *     the host is known to have had no lease any more
    */
-  public void sessionLost(String hostId, boolean silent, long leaseSinceMs) {
+  public void sessionLost(String hostId, boolean mayHoldLease, long leaseRenewedAtMs) {
     if (!hosts.remove(hostId)) {
       return;
     }
     long overAfterMs =
-        silent ? timing.runsOverAfterSilenceMs() : timing.runsOverAfterDisconnectMs();
+        mayHoldLease ? timing.runsOverAfterSilenceMs() : timing.runsOverAfterDisconnectMs();
     int uncertainRuns = 0;
     for (OwnedTask task : activeTasks.values()) {
       if (task.hostId().equals(hostId) && task.isOrdered()) {
-        task.markUncertain(leaseSinceMs + overAfterMs);
+        task.markUncertain(leaseRenewedAtMs + overAfterMs);
         uncertainRuns++;
       }
     }
     String outcome =
         "silent=%s runsUncertain=%d runsOverAfterMs=%d"
-            .formatted(silent, uncertainRuns, overAfterMs);
+            .formatted(mayHoldLease, uncertainRuns, overAfterMs);
     outbox.logDecision("hostLost", "", "", hostId, outcome);
   }
 
@@ -257,7 +257,7 @@
         .find(hostId)
         .ifPresent(
             host -> {
-              host.recordHeard(nowMs);
+              host.recordUpdateTime(nowMs);
               host.update(rows);
               rows.workers()
                   .forEach(row -> speeds.recordUsualPace(row.workerId(), row.pacePercent()));
--- a/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
+++ b/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
@@ -102,7 +102,7 @@
         && task.plan().preferredLabel().isEmpty()
         && !worker.row().workerId().equals(task.avoidedWorkerId())
         && worker.shareLeft(task.plan().need()) >= MIN_FREE_SHARE_TO_JOIN
-        && selector.canTake(worker, task, excludesUnhealthy(task), nowMs);
+        && selector.canPlace(worker, task, excludesUnhealthy(task), nowMs);
   }
 
   private Optional<WorkerView> search(OwnedTask task) {
--- a/core/src/main/java/io/hingehoist/run/owner/StragglerDetector.java
+++ b/core/src/main/java/io/hingehoist/run/owner/StragglerDetector.java
@@ -68,7 +68,7 @@
    * healthy worker appear slow.
    */
   long observedRunMs(OwnedTask task) {
-    return hosts.find(task.hostId()).orElseThrow().lastHeardAtMs() - task.orderedAtMs();
+    return hosts.find(task.hostId()).orElseThrow().lastUpdateAtMs() - task.orderedAtMs();
   }
 
   /**
--- a/core/src/main/java/io/hingehoist/run/owner/WorkerSelector.java
+++ b/core/src/main/java/io/hingehoist/run/owner/WorkerSelector.java
@@ -59,7 +59,7 @@
     double bestScore = Double.NEGATIVE_INFINITY;
     for (HostView host : hosts) {
       for (WorkerView worker : host.workers()) {
-        if (canTake(worker, task, excludesUnhealthy, nowMs)) {
+        if (canPlace(worker, task, excludesUnhealthy, nowMs)) {
           double score = score(worker, task, nowMs);
           if (score > bestScore) {
             bestScore = score;
@@ -122,7 +122,7 @@
   /**
    * Returns whether a worker is eligible for a task, has room for it and would not make it late.
    */
-  boolean canTake(WorkerView worker, OwnedTask task, boolean excludesUnhealthy, long nowMs) {
+  boolean canPlace(WorkerView worker, OwnedTask task, boolean excludesUnhealthy, long nowMs) {
     return isEligible(worker, task, excludesUnhealthy, nowMs)
         && !wouldBeLateOn(worker, task, nowMs);
   }
--- a/core/src/test/java/io/hingehoist/run/RunSimulation.java
+++ b/core/src/test/java/io/hingehoist/run/RunSimulation.java
@@ -392,7 +392,7 @@
         case OwnerWaiting update -> host.updateWaitingTasks(id, update, nowMs);
         case StartRuns order -> host.startRuns(id, order, nowMs);
         case StopRun order -> host.stopRun(id, order.run(), nowMs);
-        case SessionProof proof -> host.sessionProven(id, proof.number(), proof.sentAtMs(), nowMs);
+        case SessionProof proof -> host.proofReceived(id, proof.number(), proof.sentAtMs(), nowMs);
         default -> throw new IllegalStateException("not a message to a host: " + message);
       }
       box.carryOutEffects();
--- a/core/src/test/java/io/hingehoist/run/host/SuspendedHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostSleepTest.java
@@ -18,7 +18,7 @@
  * meanwhile, so the leases of its owners seem valid although the owners have started the tasks
  * elsewhere.
  */
-public final class SuspendedHostTest {
+public final class HostSleepTest {
   private static final Room CAPACITY = new Room(4_000, 1_000, 0);
   private static final long SESSION = HostFixture.SESSION;
   private static final RunRef RUNNING = new RunRef("j.0.0", 1);
@@ -61,7 +61,7 @@
     start(1_021, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
     assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
-    host.sessionProven(SESSION, probeNumber, 1_024, 1_024);
+    host.proofReceived(SESSION, probeNumber, 1_024, 1_024);
     start(1_025, new RunRef("j.0.1", 2));
     assertEquals(count(HostEffect.StartCall.class), 1);
   }
@@ -76,7 +76,7 @@
   @Test
   public void aStartCallIsNotRepeatedAfterASuspend() {
     long probeNumber = probeNumber();
-    host.sessionProven(SESSION, probeNumber, 1_024, 1_024);
+    host.proofReceived(SESSION, probeNumber, 1_024, 1_024);
     start(1_025, ORDERED);
     host.mayHaveSlept(4_000, 1_030);
     host.startCallCompleted("w", ORDERED, new StartResult.Unanswered(), 1_031);
@@ -98,14 +98,14 @@
 
   @Test
   public void anAnswerToAnEarlierProbeProvesNothing() {
-    host.sessionProven(SESSION, probeNumber() - 1, 1_021, 1_021);
+    host.proofReceived(SESSION, probeNumber() - 1, 1_021, 1_021);
     start(1_022, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
   }
 
   @Test
   public void aHostWithUnverifiedSessionsAnswersNoProbes() {
-    host.sessionProbed(SESSION, 5, 1_021);
+    host.probeReceived(SESSION, 5, 1_021);
     fixture.collectEffects(1_021);
     assertEquals(sent(SessionProof.class), List.of());
   }
--- a/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/OverdueStopTest.java
@@ -172,20 +172,20 @@
     fixture.order(LOST_OWNER_SESSION, WORKER, 1_300, LATER_RUN);
     fixture.host.startCallCompleted(WORKER, LATER_RUN, new StartResult.Unanswered(), 1_330);
     loseOwner(1_340);
-    long leaseOverAtMs = 1_330 + HostFixture.TIMING.workerRunsOverAfterMs();
-    heartbeat(OTHER_OWNER_SESSION, leaseOverAtMs);
+    long runsOverAtMs = 1_330 + HostFixture.TIMING.workerRunsOverAfterMs();
+    heartbeat(OTHER_OWNER_SESSION, runsOverAtMs);
     assertEquals(fixture.host.runCount(), 3);
     fixture.answerPoll(
         WORKER,
-        leaseOverAtMs,
+        runsOverAtMs,
         List.of(),
         new PollResult.Ended(1, RUN_OF_LOST_OWNER, RunEnd.LAPSED),
         new PollResult.Ended(2, RUN_OF_OTHER_OWNER, RunEnd.LAPSED));
     assertEquals(fixture.sent(OTHER_OWNER_SESSION, RunEnded.class).getFirst().end(), RunEnd.LAPSED);
     assertEquals(fixture.host.runCount(), 1);
-    fixture.host.onTick(leaseOverAtMs + 50);
-    fixture.collectEffects(leaseOverAtMs + 50);
-    fixture.answerPoll(WORKER, leaseOverAtMs + 60, List.of());
+    fixture.host.onTick(runsOverAtMs + 50);
+    fixture.collectEffects(runsOverAtMs + 50);
+    fixture.answerPoll(WORKER, runsOverAtMs + 60, List.of());
     assertEquals(fixture.host.runCount(), 0);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/ProgressMonitorTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/ProgressMonitorTest.java
@@ -8,7 +8,7 @@
 import io.hingehoist.message.RunRef;
 import io.hingehoist.message.StartRuns;
 import io.hingehoist.run.TaskNames;
-import io.hingehoist.run.host.ProgressMonitor.Pace;
+import io.hingehoist.run.host.ProgressMonitor.Rate;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -47,27 +47,27 @@
   @Test
   public void runsThatAdvanceAsEstimatedAreUsual() {
     reportProgress(10, 0, 100);
-    assertEquals(monitor.pace(100), Pace.USUAL);
+    assertEquals(monitor.rate(100), Rate.USUAL);
     assertFalse(monitor.isOnTrial());
   }
 
   @Test
   public void aStalledWorkerIsDetectedWithin100Ms() {
     reportProgress(0, 0, 100);
-    assertEquals(monitor.pace(100), Pace.STALLED);
+    assertEquals(monitor.rate(100), Rate.STALLED);
   }
 
   @Test
   public void aSlowWorkerIsDetectedBeforeAnyRunEnds() {
     reportProgress(2, 0, 120);
-    assertEquals(monitor.pace(120), Pace.SLOW);
+    assertEquals(monitor.rate(120), Rate.SLOW);
   }
 
   @Test
   public void aSingleObservationOfSlownessIsIgnored() {
     reportProgress(2, 0, 60);
     reportProgress(10, 100, 160);
-    assertEquals(monitor.pace(160), Pace.USUAL);
+    assertEquals(monitor.rate(160), Rate.USUAL);
   }
 
   @Test
@@ -76,7 +76,7 @@
       reportProgress(6, i * 200L, i * 200L + 100);
     }
     reportProgress(3, 60_000, 60_100);
-    assertEquals(monitor.pace(60_100), Pace.USUAL);
+    assertEquals(monitor.rate(60_100), Rate.USUAL);
   }
 
   @Test
@@ -86,18 +86,18 @@
       monitor.recordProgress(hourLongRun, 0, nowMs);
       assertFalse(monitor.judge(nowMs));
     }
-    assertEquals(monitor.pace(10_000), Pace.USUAL);
+    assertEquals(monitor.rate(10_000), Rate.USUAL);
   }
 
   @Test
   public void aWorkerIsTriedAfterAPauseThatGrowsUntilItRecovers() {
     reportProgress(0, 0, 100);
-    assertEquals(monitor.pace(500), Pace.STALLED);
-    assertEquals(monitor.pace(600), Pace.USUAL);
+    assertEquals(monitor.rate(500), Rate.STALLED);
+    assertEquals(monitor.rate(600), Rate.USUAL);
     assertTrue(monitor.isOnTrial());
     reportProgress(0, 700, 800);
-    assertEquals(monitor.pace(1_500), Pace.STALLED);
-    assertEquals(monitor.pace(1_900), Pace.USUAL);
+    assertEquals(monitor.rate(1_500), Rate.STALLED);
+    assertEquals(monitor.rate(1_900), Rate.USUAL);
     reportProgress(10, 2_000, 2_100);
     assertFalse(monitor.isOnTrial());
   }
@@ -111,6 +111,6 @@
     monitor.recordSuccess(first, 200);
     monitor.recordSuccess(second, 200);
     monitor.judge(200);
-    assertEquals(monitor.pace(200), Pace.USUAL);
+    assertEquals(monitor.rate(200), Rate.USUAL);
   }
 }
--- a/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
@@ -679,7 +679,7 @@
     SessionProbe probe = sent(SessionProbe.class).getFirst();
     order(host, 1_650, run(0, 1));
     assertEquals(all(HostEffect.StartCall.class), List.of());
-    host.sessionProven(SESSION, probe.number(), 5_650, 1_652);
+    host.proofReceived(SESSION, probe.number(), 5_650, 1_652);
     host.ownerHeartbeat(SESSION, 5_700, true, 1_702);
     order(host, 1_703, run(0, 2));
     assertEquals(all(HostEffect.StartCall.class).size(), 1);
--- a/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/AdapterProcess.java
@@ -15,7 +15,7 @@
 import io.hingehoist.net.HttpServer;
 import io.hingehoist.owner.OwnerNode;
 import io.hingehoist.quorum.ControlNode;
-import io.hingehoist.quorum.LocalOrders;
+import io.hingehoist.quorum.LocalOperatorCommands;
 import io.hingehoist.quorum.RouteFeed;
 import io.hingehoist.settings.ControlSection;
 import io.hingehoist.settings.HostSection;
@@ -105,7 +105,8 @@
             Optional.of(RouteFeed.of(loop, OwnerNode.CONFIGURATION, adapter::toRoutes)),
             Main::halt);
     if (!section.doorAddress().isEmpty()) {
-      LocalOrders commands = LocalOrders.of(control, loop, OwnerNode.CONFIGURATION);
+      LocalOperatorCommands commands =
+          LocalOperatorCommands.of(control, loop, OwnerNode.CONFIGURATION);
       HttpServer.open(
           loop, section.doorAddress(), MAX_OPERATOR_BODY_BYTES, adapter.operatorHandler(commands));
     }
--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -272,7 +272,7 @@
 
   private final class OwnerListener implements OwnerLinks.Listener {
     @Override
-    public void onStarted(long sessionId, String ownerId) {
+    public void onOpened(long sessionId, String ownerId) {
       host.sessionOpened(sessionId, ownerId, EventLoop.nowMs());
       loop.flushLater();
     }
@@ -287,8 +287,8 @@
         case OwnerWaiting waiting -> host.updateWaitingTasks(sessionId, waiting, nowMs);
         case StartRuns order -> host.startRuns(sessionId, order, nowMs);
         case SessionProof proof ->
-            host.sessionProven(sessionId, proof.number(), proof.sentAtMs(), nowMs);
-        case SessionProbe probe -> host.sessionProbed(sessionId, probe.number(), nowMs);
+            host.proofReceived(sessionId, proof.number(), proof.sentAtMs(), nowMs);
+        case SessionProbe probe -> host.probeReceived(sessionId, probe.number(), nowMs);
         case StopRun order -> host.stopRun(sessionId, order.run(), nowMs);
         case EvacuatedZones zones -> updateZones(zones, "session=" + sessionId);
         default -> owners.close(sessionId);
--- a/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
+++ b/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
@@ -38,7 +38,7 @@
   /** Handles the events of sessions. Called on the event loop. */
   interface Listener {
     /** Called when a session starts. */
-    void onStarted(long sessionId, String ownerId);
+    void onOpened(long sessionId, String ownerId);
 
     /** Called when a session resumes on a new connection. */
     void onResumed(long sessionId);
@@ -63,7 +63,7 @@
   private static final class Session {
     private final long id;
     private final SessionStream stream = SessionStream.create();
-    private final long startedAtMs;
+    private final long openedAtMs;
     private Optional<PeerChannel> channel;
     private HostRowsEncoder sentRows = HostRowsEncoder.create();
     private long heartbeatReceivedAtMs;
@@ -71,7 +71,7 @@
     private Session(PeerChannel channel, long nowMs) {
       this.id = channel.id();
       this.heartbeatReceivedAtMs = nowMs;
-      this.startedAtMs = nowMs;
+      this.openedAtMs = nowMs;
       this.channel = Optional.of(channel);
     }
 
@@ -139,7 +139,7 @@
 
   private long silenceTimeoutMs(Session session, long nowMs) {
     boolean idle = !listener.hasRuns(session.id);
-    return SilenceTimeouts.forOwnerMs(idle, nowMs - session.startedAtMs);
+    return SilenceTimeouts.forOwnerMs(idle, nowMs - session.openedAtMs);
   }
 
   private void replaceWithoutHeartbeat(String owner, Session session) {
@@ -228,16 +228,16 @@
     public void onOpen(PeerChannel channel) {
       Session session = sessionsByOwner.get(owner);
       if (session == null) {
-        startSession(channel);
+        openSession(channel);
       } else {
         channel.send(new SessionResumed(session.id, session.stream.receivedCount()));
       }
     }
 
-    private void startSession(PeerChannel channel) {
+    private void openSession(PeerChannel channel) {
       Session session = new Session(channel, EventLoop.nowMs());
       sessionsByOwner.put(owner, session);
-      listener.onStarted(session.id, owner);
+      listener.onOpened(session.id, owner);
     }
 
     @Override
@@ -294,7 +294,7 @@
     private void restartSession(Session session, PeerChannel channel, SessionUnknown unknown) {
       if (unknown.sessionId() == session.id) {
         endSession(owner, "session unknown to owner");
-        startSession(channel);
+        openSession(channel);
       }
     }
 
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -92,7 +92,7 @@
     private final long hostIncarnation;
     private final SessionStream stream = SessionStream.create();
     private final OpenRuns openRuns = OpenRuns.create();
-    private final long startedAtMs = EventLoop.nowMs();
+    private final long openedAtMs = EventLoop.nowMs();
     private Optional<PeerChannel> channel;
     private HostRowsDecoder receivedRows = HostRowsDecoder.create();
     private long suspendedAtMs;
@@ -119,7 +119,7 @@
     }
 
     private long silenceTimeoutMs(long nowMs) {
-      return SilenceTimeouts.forHostMs(isIdle(), nowMs - startedAtMs);
+      return SilenceTimeouts.forHostMs(isIdle(), nowMs - openedAtMs);
     }
 
     /**
--- a/daemon/src/main/java/io/hingehoist/quorum/LocalOrders.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/LocalOperatorCommands.java
@@ -30,7 +30,7 @@
  * Submits operators' orders to the replica of this process. Not thread-safe: confined to the event
  * loop.
  */
-public final class LocalOrders implements OperatorCommands {
+public final class LocalOperatorCommands implements OperatorCommands {
   private static final long TIMEOUT_MS = 2_500;
 
   /** The operator in the audit trail, as the platform's interface does not identify operators. */
@@ -42,7 +42,7 @@
   private final Map<Long, Consumer<Result>> pending = new HashMap<>();
   private long lastRequestId;
 
-  private LocalOrders(ControlNode control, EventLoop loop, String document) {
+  private LocalOperatorCommands(ControlNode control, EventLoop loop, String document) {
     this.control = control;
     this.loop = loop;
     this.document = document;
@@ -51,8 +51,8 @@
   /**
    * Returns the orders to a replica, with the name of the document that holds the configuration.
    */
-  public static LocalOrders of(ControlNode control, EventLoop loop, String document) {
-    return new LocalOrders(control, loop, document);
+  public static LocalOperatorCommands of(ControlNode control, EventLoop loop, String document) {
+    return new LocalOperatorCommands(control, loop, document);
   }
 
   @Override
--- a/daemon/src/main/java/io/hingehoist/quorum/RouteFeed.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/RouteFeed.java
@@ -25,7 +25,7 @@
   private final Parser parser;
 
   /** Confined to the event loop. */
-  private final RouteTableHistory archive = RouteTableHistory.create();
+  private final RouteTableHistory history = RouteTableHistory.create();
 
   private RouteFeed(EventLoop loop, String document, Parser parser) {
     this.loop = loop;
@@ -41,12 +41,12 @@
   /** Adds a committed document, from which later requests are answered. */
   void onDocument(String name, long version, Bytes content) {
     if (name.equals(document)) {
-      loop.execute(() -> archive.add(parser.toRoutes(version, content)));
+      loop.execute(() -> history.add(parser.toRoutes(version, content)));
     }
   }
 
   /** Responds to a request, unless the sender already holds the newest version. */
   void onRequest(MessageSink sender, RoutesRequest request) {
-    loop.execute(() -> archive.answer(request).ifPresent(sender::send));
+    loop.execute(() -> history.answer(request).ifPresent(sender::send));
   }
 }
--- a/daemon/src/test/java/io/hingehoist/quorum/FiveReplicasTest.java
+++ b/daemon/src/test/java/io/hingehoist/quorum/FiveReplicasTest.java
@@ -150,11 +150,12 @@
     loop.execute(
         () ->
             request.accept(
-                new PendingOrder(LocalOrders.of(replica, loop, "configuration"), result)));
+                new PendingOrder(
+                    LocalOperatorCommands.of(replica, loop, "configuration"), result)));
     return result.get(30, TimeUnit.SECONDS);
   }
 
-  private record PendingOrder(LocalOrders orders, CompletableFuture<Result> result) {}
+  private record PendingOrder(LocalOperatorCommands orders, CompletableFuture<Result> result) {}
 
   private Result publish(int index, long version, Bytes content) throws Exception {
     return submit(
--- a/daemon/src/test/java/io/hingehoist/quorum/LargeDocumentTest.java
+++ b/daemon/src/test/java/io/hingehoist/quorum/LargeDocumentTest.java
@@ -105,7 +105,7 @@
       CompletableFuture<Result> result = new CompletableFuture<>();
       loop.execute(
           () ->
-              LocalOrders.of(replica, loop, "configuration")
+              LocalOperatorCommands.of(replica, loop, "configuration")
                   .publish(version, Bytes.copyOf(new byte[DOCUMENT_BYTES]), result::complete));
       if (result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS) instanceof Result.Accepted) {
         return;
