--- a/core/src/main/java/io/hingehoist/directory/PeerDirectory.java
+++ b/core/src/main/java/io/hingehoist/directory/PeerDirectory.java
@@ -29,7 +29,7 @@
   private static final class PeerRecord {
     private Peer peer;
     private long announcedAtMs = Long.MIN_VALUE / 2;
-    private long lastHeardAtMs;
+    private long renewedAtMs;
   }
 
   private PeerDirectory(long retentionMs) {
@@ -73,20 +73,18 @@
       peerRecord.peer = peer;
       version++;
     }
-    peerRecord.lastHeardAtMs = nowMs;
+    peerRecord.renewedAtMs = nowMs;
     return peerRecord;
   }
 
   /** Renews every record, after a control replica has confirmed that the directory is unchanged. */
   public void refreshAll(long nowMs) {
-    peerRecords.values().forEach(peerRecord -> peerRecord.lastHeardAtMs = nowMs);
+    peerRecords.values().forEach(peerRecord -> peerRecord.renewedAtMs = nowMs);
   }
 
   /** Removes the records that have not been renewed within the retention. */
   public void expire(long nowMs) {
-    if (peerRecords
-        .values()
-        .removeIf(peerRecord -> nowMs - peerRecord.lastHeardAtMs > retentionMs)) {
+    if (peerRecords.values().removeIf(peerRecord -> nowMs - peerRecord.renewedAtMs > retentionMs)) {
       version++;
     }
   }
--- a/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
+++ b/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
@@ -60,7 +60,7 @@
   private final PriorityQueue<Deadline> deadlines =
       new PriorityQueue<>(Comparator.comparingLong(Deadline::atMs));
   private SettingsTree settings = SettingsTree.empty();
-  private long leaseUntilMs = Long.MIN_VALUE;
+  private long leaseExpiresAtMs = Long.MIN_VALUE;
   private long sequence;
   private long retirementsSentAtMs;
   private long drainingRetirementsSentAtMs;
@@ -95,11 +95,12 @@
    * Extends the lease, during which work may start, and drops the records of committed jobs that
    * were admitted before the floor.
    *
-   * @param untilMs the end of the lease
-   * @param floorMs the earliest time of admission that is still remembered, on the replicated clock
+   * @param expiresAtMs the end of the lease
+   * @param floorMs the earliest time of admission of which records are kept, on the replicated
+   *     clock
    */
-  public List<DispatchEffect> onLease(long untilMs, long floorMs, long nowMs) {
-    leaseUntilMs = Math.max(leaseUntilMs, untilMs);
+  public List<DispatchEffect> onLease(long expiresAtMs, long floorMs, long nowMs) {
+    leaseExpiresAtMs = Math.max(leaseExpiresAtMs, expiresAtMs);
     jobs.removeAdmittedBefore(floorMs);
     return dispatchWaiting(nowMs);
   }
@@ -273,7 +274,7 @@
   }
 
   /**
-   * Takes over a job from an entry that has ended.
+   * Adopts a job from an entry that has ended.
    *
    * @param lostAgents the agents whose record of the job's tasks is lost
    */
@@ -314,7 +315,7 @@
 
   /** Leaves every job to other entries, because this entry's incarnation has ended. */
   public List<DispatchEffect> onIncarnationEnded() {
-    leaseUntilMs = Long.MIN_VALUE;
+    leaseExpiresAtMs = Long.MIN_VALUE;
     jobs.abandonAll();
     return drainEffects();
   }
@@ -369,7 +370,7 @@
    */
   public Optional<RequestOutcome.Refused> refusalOf(
       String service, String jobClass, int tasks, long deadlineMs, long nowMs) {
-    if (nowMs >= leaseUntilMs) {
+    if (nowMs >= leaseExpiresAtMs) {
       return AdmissionChecks.refused(
           RefusalCause.NO_LEASE, "this entry has no fresh lease", AdmissionChecks.RETRY_SOON_MS);
     }
@@ -456,7 +457,7 @@
   }
 
   private List<DispatchEffect> dispatchWaiting(long nowMs) {
-    if (nowMs < leaseUntilMs) {
+    if (nowMs < leaseExpiresAtMs) {
       pools.forEach(
           (service, pool) -> {
             pool.dispatchWaiting(
@@ -475,21 +476,21 @@
   }
 
   private List<DispatchEffect> drainEffects() {
-    List<DispatchEffect> taken = List.copyOf(effects);
+    List<DispatchEffect> drained = List.copyOf(effects);
     effects.clear();
-    return taken;
+    return drained;
   }
 
   // Lease and status.
 
-  /** Drops the lease, which may have expired while this box was suspended. */
+  /** Drops the lease, which may have expired while this box was asleep. */
   public void dropLease() {
-    leaseUntilMs = Long.MIN_VALUE;
+    leaseExpiresAtMs = Long.MIN_VALUE;
   }
 
   /** Returns whether this entry has a valid lease. */
   public boolean hasLease(long nowMs) {
-    return nowMs < leaseUntilMs;
+    return nowMs < leaseExpiresAtMs;
   }
 
   /** Returns the jobs that this entry owns. */
--- a/core/src/main/java/io/hingehoist/dispatch/JobDispatch.java
+++ b/core/src/main/java/io/hingehoist/dispatch/JobDispatch.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Takes over a job from an entry that has ended. Fences the job at every agent, so that none of
-   * them starts a task for the previous owner.
+   * Adopts a job from an entry that has ended. Fences the job at every agent, so that none of them
+   * starts a task for the previous owner.
    */
   void adopt(JobSpec spec, long firstSequence, List<String> lostAgents) {
     ActiveJob previous = activeJobs.get(spec.jobId());
--- a/core/src/main/java/io/hingehoist/dispatch/ServicePool.java
+++ b/core/src/main/java/io/hingehoist/dispatch/ServicePool.java
@@ -19,7 +19,7 @@
  * thread-safe: confined to the dispatch thread.
  */
 final class ServicePool {
-  /** Time without waiting work after which agents are told that the demand has ended. */
+  /** Time without waiting work after which agents are notified that the demand has ended. */
   private static final long DEMAND_LINGER_MS = 100;
 
   /** Credits retained for the next arrivals when another entry needs some. */
@@ -144,7 +144,7 @@
     return candidates;
   }
 
-  /** Tells agents when work of this entry starts or ceases to wait for credits. */
+  /** Notifies agents when work of this entry starts or ceases to wait for credits. */
   void sendDemandChanges(boolean usesSlotCredits, Consumer<DispatchEffect> effects, long nowMs) {
     boolean waits = usesSlotCredits && queue.peek().isPresent();
     boolean lingers = nowMs - lastWaitingAtMs < DEMAND_LINGER_MS;
--- a/core/src/main/java/io/hingehoist/replication/Replica.java
+++ b/core/src/main/java/io/hingehoist/replication/Replica.java
@@ -26,7 +26,7 @@
 /**
  * A replica of the log, which consumes events and returns effects.
  *
- * <p>Call {@link #step} for each event and {@link #flush} after each batch of events, and execute
+ * <p>Call {@link #step} for each event and {@link #flush} after each batch of events, and carry out
  * the returned effects in order. Times are milliseconds of a monotonic clock. Not thread-safe:
  * confined to the control thread.
  */
@@ -128,7 +128,7 @@
     knownAddresses = List.copyOf(addresses);
   }
 
-  /** Processes one event and returns the effects to execute. */
+  /** Processes one event and returns the effects to carry out. */
   public List<ReplicaEffect> step(ReplicaEvent event, long nowMs) {
     switch (event) {
       case ReplicaEvent.Tick tick -> onTick(nowMs);
--- a/core/src/main/java/io/hingehoist/replication/ReplicaEffect.java
+++ b/core/src/main/java/io/hingehoist/replication/ReplicaEffect.java
@@ -4,7 +4,7 @@
 import io.hingehoist.message.Message;
 import java.util.List;
 
-/** An action that a {@link Replica} requests from its caller, who executes the actions in order. */
+/** An action that a {@link Replica} requests from its caller, which carries them out in order. */
 public sealed interface ReplicaEffect {
 
   /**
--- a/core/src/main/java/io/hingehoist/route/RouteDownload.java
+++ b/core/src/main/java/io/hingehoist/route/RouteDownload.java
@@ -76,9 +76,9 @@
 
   /** Returns the actions since the last call, in the order in which to carry them out. */
   public List<Effect> drainEffects() {
-    List<Effect> taken = List.copyOf(effects);
+    List<Effect> drained = List.copyOf(effects);
     effects.clear();
-    return taken;
+    return drained;
   }
 
   /** Handles the announcement of a version by a replica. */
--- a/core/src/main/java/io/hingehoist/run/host/CrashLog.java
+++ b/core/src/main/java/io/hingehoist/run/host/CrashLog.java
@@ -13,7 +13,7 @@
  * tasks. Not thread-safe: confined to the event-loop thread.
  */
 final class CrashLog {
-  /** Far longer than callers continue to resubmit the same job. */
+  /** Far longer than the time for which callers resubmit the same job. */
   private static final long RETENTION_MS = 60_000;
 
   private static final int MAX_CRASHES = 16;
--- a/core/src/main/java/io/hingehoist/run/host/FreedRoomAllocator.java
+++ b/core/src/main/java/io/hingehoist/run/host/FreedRoomAllocator.java
@@ -6,7 +6,7 @@
  * Reserves room that becomes free at a full worker for the owner with the most urgent waiting
  * tasks.
  *
- * <p>Without the short reservation the room would go to whichever owner sends an order first. Not
+ * <p>Without the short reservation the room would go to the owner whose order arrives first. Not
  * thread-safe: confined to the event-loop thread.
  */
 final class FreedRoomAllocator {
--- a/core/src/main/java/io/hingehoist/run/host/HostEffect.java
+++ b/core/src/main/java/io/hingehoist/run/host/HostEffect.java
@@ -49,7 +49,7 @@
    * @param deadlineMs the end of the lease, by the worker's clock; 0 leaves the lease unchanged
    * @param lastSeen the number of the last end that the host has processed
    * @param waitMs how long the worker may delay the response until a run ends
-   * @param options when the call counts as lost; the time-out includes {@code waitMs}
+   * @param options when the call counts as lost; the timeout includes {@code waitMs}
    */
   record PollCall(
       String instanceId,
--- a/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
+++ b/core/src/main/java/io/hingehoist/run/host/LeaseBounds.java
@@ -5,9 +5,9 @@
 /**
  * Computes how far the lease of a worker may be renewed.
  *
- * <p>A lease applies to all runs of a worker, so it has to end in time for the run that must be
- * over first. A run must be over at a certain time if its owner is silent or wants it stopped:
- * other processes assume its end from then on. Not thread-safe: confined to the event-loop thread.
+ * <p>A lease applies to all runs of a worker, so it has to expire in time for the run that must be
+ * over first. A run must be over at a certain time if its owner is silent or has stopped it: other
+ * processes assume its end from then on. Not thread-safe: confined to the event-loop thread.
  */
 final class LeaseBounds {
   /** A run that is started under a shorter lease would hardly finish within it. */
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -99,7 +99,7 @@
   void heartbeat(OwnerSession session, long sentAtMs, boolean follows, long nowMs) {
     session.follows = follows;
     if (session.isUnverified()) {
-      // The heartbeat may have been in transit while this box was suspended.
+      // The heartbeat may have been in transit while this box was asleep.
       return;
     }
     session.lease.onHeartbeat(sentAtMs, nowMs);
--- a/core/src/main/java/io/hingehoist/run/host/RoomReservations.java
+++ b/core/src/main/java/io/hingehoist/run/host/RoomReservations.java
@@ -10,8 +10,8 @@
 /**
  * Short reservations of freed room at one worker for the owner with the most urgent waiting tasks.
  *
- * <p>Without them all owners would send orders for the same room, and the first order would get it
- * however urgent its tasks are. Not thread-safe: confined to the event-loop thread.
+ * <p>Without them all owners would send orders for the same room, and the first order to arrive
+ * would get it, however urgent its tasks are. Not thread-safe: confined to the event-loop thread.
  */
 final class RoomReservations {
   /** Enough time for an owner to learn of the reservation and for its order to arrive. */
--- a/core/src/main/java/io/hingehoist/run/host/RunController.java
+++ b/core/src/main/java/io/hingehoist/run/host/RunController.java
@@ -236,10 +236,10 @@
   }
 
   /**
-   * Returns whether a start call may be sent. A host that was paused may process a response long
-   * after it arrived: an owner whose lease has expired may have started the task elsewhere, and the
-   * zone may have been evacuated. A start call renews the worker's lease, which must not happen for
-   * a silent worker.
+   * Returns whether a start call may be sent. A host process that was paused may process a response
+   * long after it arrived: an owner whose lease has expired may have started the task elsewhere,
+   * and the zone may have been evacuated. A start call renews the worker's lease, which must not
+   * happen for a silent worker.
    */
   private boolean mayStart(WorkerInstance instance, HostedRun run, long nowMs) {
     return run.state == HostedRun.State.ORDERED
--- a/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerHost.java
@@ -207,11 +207,10 @@
     return startGuard.refusedForZoneCount();
   }
 
-  // Suspension of the box.
+  // Sleep of the box.
 
   /**
-   * Handles a possible suspend of this box: no owner's lease counts until the owner answers a
-   * probe.
+   * Handles a possible sleep of this box: no owner's lease counts until the owner answers a probe.
    */
   public void mayHaveSlept(long sleptMs, long nowMs) {
     sessionManager.markAllUnverified(sleptMs, nowMs);
--- a/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerInstance.java
@@ -109,7 +109,7 @@
    * Renews the lease.
    *
    * @param overAtMs when all runs must be over unless the lease is renewed again
-   * @return the deadline of a call sent now; that of the previous lease if it ends later, as a
+   * @return the deadline of a call sent now; that of the previous lease if it is later, as a
    *     worker's lease never becomes shorter
    */
   long grantLease(long overAtMs, long nowMs) {
--- a/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
@@ -14,12 +14,12 @@
  */
 final class WorkerPoller {
   /**
-   * How long a worker with runs may delay its response until a run ends. A lost call hides ends for
-   * this time, and a stalled worker is detected after two lists.
+   * How long a worker with runs may delay its response until a run ends. A lost call delays the
+   * reports of ended runs by this time, and a stalled worker is detected after two lists.
    */
   private static final long WAIT_WITH_RUNS_MS = 50;
 
-  /** The same while calls are being lost, so that ends are hidden for a shorter time. */
+  /** The same while calls are being lost, so that a lost call delays these reports less. */
   private static final long WAIT_WHEN_LOSSY_MS = 20;
 
   /**
@@ -171,7 +171,7 @@
 
   /**
    * Records a lost poll. A single loss is no evidence of a silent worker, so the next poll is sent
-   * at once: a pause would hide ends.
+   * at once: a pause would delay the reports of ended runs.
    */
   private void recordLostPoll(WorkerInstance instance, long nowMs) {
     instance.lostPolls++;
@@ -284,12 +284,15 @@
     }
   }
 
-  /** Ends the runs of a silent worker whose lease is over: the worker has killed them by then. */
+  /**
+   * Ends the runs of a silent worker after its lease has expired: the worker has killed them by
+   * then.
+   */
   void endRunsAfterLease(WorkerInstance instance, long nowMs) {
     if (!instance.silent || !instance.areRunsOver(nowMs)) {
       return;
     }
-    // A start call to a former instance may be carried out after the lease of this one.
+    // A start call to a former instance may be carried out after the lease of this one has expired.
     boolean allOver = instance.runs().stream().allMatch(run -> nowMs >= run.startCallsExpireAtMs);
     if (instance.refusesConnections && allOver) {
       runController.endInstance(instance, "connections refused until its lease was over", nowMs);
--- a/core/src/main/java/io/hingehoist/run/load/FollowedHostCount.java
+++ b/core/src/main/java/io/hingehoist/run/load/FollowedHostCount.java
@@ -21,7 +21,10 @@
   /** The weight of one sample in the moving mean, which follows the load within a second. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
-  /** Smaller changes are ignored, as each change costs messages to hosts. */
+  /**
+   * Smaller changes are ignored, except back to the base count, as each change costs messages to
+   * hosts.
+   */
   private static final int MIN_CHANGE_HOSTS = 2;
 
   private final int baseCount;
--- a/core/src/main/java/io/hingehoist/run/owner/HostView.java
+++ b/core/src/main/java/io/hingehoist/run/owner/HostView.java
@@ -28,12 +28,15 @@
     return ++lastOrder;
   }
 
-  /** Records the arrival of a message from the host. */
+  /** Records the time of the host's last update of its workers. */
   void recordUpdateTime(long nowMs) {
     lastUpdateAtMs = nowMs;
   }
 
-  /** Returns the time of the host's last message, up to which the state of its runs is known. */
+  /**
+   * Returns the time of the host's last update of its workers, up to which the state of its runs is
+   * known.
+   */
   long lastUpdateAtMs() {
     return lastUpdateAtMs;
   }
--- a/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
+++ b/core/src/main/java/io/hingehoist/run/owner/JobOwner.java
@@ -32,12 +32,15 @@
  * owner's event loop.
  */
 public final class JobOwner {
-  /** Run numbers to skip after one was refused, as another owner has used the numbers up to it. */
+  /**
+   * The number of run numbers to skip after one was refused, as another owner has used those up to
+   * it.
+   */
   private static final long RUN_NUMBER_SKIP = 16;
 
   /**
-   * Failures on workers that fail every run which a task may have beyond its attempts. The limit
-   * ensures that its job ends.
+   * The number of failures beyond its attempts that a task may have on workers that fail every run.
+   * The limit ensures that its job ends.
    */
   private static final int MAX_UNATTRIBUTED_FAILURES = 3;
 
@@ -103,7 +106,7 @@
         timing, new FollowedHosts(ownerId, zone, followedHosts), followedHosts, reservation);
   }
 
-  /** Removes and returns, in order, the effects that were requested since the last call. */
+  /** Returns and removes the effects added since the last call, in order. */
   public List<OwnerEffect> drainEffects() {
     return outbox.drain();
   }
@@ -184,8 +187,8 @@
   /**
    * Handles the opening of a session with a host.
    *
-   * @param formerRunsOver whether all runs have ended that were ordered at the host before this
-   *     session
+   * @param formerRunsOver whether all runs that were ordered at the host before this session have
+   *     ended
    */
   public void sessionOpened(String hostId, String zone, long incarnation, boolean formerRunsOver) {
     if (hosts.add(hostId, zone)) {
@@ -204,7 +207,7 @@
 
   /**
    * Handles the loss of the connection of a session that remains open. The host gets no new orders
-   * until the session has a connection again, since an order would have to wait for it. Runs that
+   * until the session has a connection again, since orders would be delivered only then. Runs that
    * are already ordered continue.
    */
   public void sessionSuspended(String hostId) {
--- a/core/src/main/java/io/hingehoist/run/owner/OwnerOutbox.java
+++ b/core/src/main/java/io/hingehoist/run/owner/OwnerOutbox.java
@@ -26,7 +26,7 @@
     effects.add(new OwnerEffect.LogDecision(new Decision(event, job, task, where, outcome)));
   }
 
-  /** Removes and returns the effects that were added since the last call. */
+  /** Returns and removes the effects added since the last call. */
   List<OwnerEffect> drain() {
     List<OwnerEffect> drained = List.copyOf(effects);
     effects.clear();
--- a/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
+++ b/core/src/main/java/io/hingehoist/run/owner/PlacementPass.java
@@ -32,7 +32,7 @@
   /**
    * The share of a worker that must remain free if a further task of the same step joins the last
    * one there. Keeping the tasks of a job together exposes fewer jobs to a worker that is slow or
-   * stalled, and lets fewer orders carry the specification of a job.
+   * stalled, and the specification of a job is sent in fewer orders.
    */
   private static final double MIN_FREE_SHARE_TO_JOIN = 0.15;
 
--- a/core/src/main/java/io/hingehoist/run/owner/StragglerDetector.java
+++ b/core/src/main/java/io/hingehoist/run/owner/StragglerDetector.java
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Returns how long a run had lasted at the time of its host's last message. Later time does not
-   * count, as the report of its end may be held up on a silent connection, which must not make a
+   * Returns how long a run had lasted at the time of its host's last update. Later time does not
+   * count, as the report of its end may be delayed on a silent connection, which must not make a
    * healthy worker appear slow.
    */
   long observedRunMs(OwnedTask task) {
--- a/core/src/main/java/io/hingehoist/run/owner/WorkerSelector.java
+++ b/core/src/main/java/io/hingehoist/run/owner/WorkerSelector.java
@@ -120,7 +120,8 @@
   }
 
   /**
-   * Returns whether a worker is eligible for a task, has room for it and would not make it late.
+   * Returns whether a task can be placed on a worker, that is, whether the worker is eligible, has
+   * room and would not make the task late.
    */
   boolean canPlace(WorkerView worker, OwnedTask task, boolean excludesUnhealthy, long nowMs) {
     return isEligible(worker, task, excludesUnhealthy, nowMs)
--- a/core/src/main/java/io/hingehoist/worker/JobLedger.java
+++ b/core/src/main/java/io/hingehoist/worker/JobLedger.java
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Raises the epoch, which permanently bars lower ones. Clears the revoked grants, because each
-   * epoch numbers its grants independently.
+   * Raises the epoch; grants of lower epochs are refused from then on. Clears the revoked grants,
+   * because each epoch numbers its grants independently.
    */
   void raiseEpoch(long newEpoch) {
     if (newEpoch > epoch) {
@@ -84,7 +84,7 @@
     return grantNumber;
   }
 
-  /** Bars a grant and all earlier ones of the task from ever starting it. */
+  /** Revokes a grant and all earlier ones of the task, so that none of them ever starts it. */
   void revoke(int taskIndex, int grantNumber) {
     revokedGrants.merge(taskIndex, grantNumber, Math::max);
   }
--- a/core/src/main/java/io/hingehoist/worker/TaskLedger.java
+++ b/core/src/main/java/io/hingehoist/worker/TaskLedger.java
@@ -28,11 +28,11 @@
 import java.util.function.IntFunction;
 
 /**
- * Decides which tasks and requests an agent starts, and remembers the started tasks so that none
+ * Decides which tasks and requests an agent starts, and records the started tasks so that none
  * starts twice.
  *
- * <p>A task starts at most once in an incarnation of the agent. Started tasks are remembered until
- * their job is older than the retention, from which time grants for it are refused by age. A grant
+ * <p>A task starts at most once in an incarnation of the agent. The records are kept until the job
+ * is older than the retention; from then on grants for it are refused because of its age. A grant
  * that was answered with "not started" can never start its task later. Times are milliseconds of a
  * monotonic clock, except {@code admittedAtMs} and the floor, which are of the replicated clock.
  * Not thread-safe: confined to the agent's control thread.
@@ -45,7 +45,7 @@
   private final Map<RunKey, Long> slotOwners = new HashMap<>();
   private final List<LedgerEffect> effects = new ArrayList<>();
   private long incarnation;
-  private long leaseUntilMs = Long.MIN_VALUE;
+  private long leaseExpiresAtMs = Long.MIN_VALUE;
   private long floorMs;
   private boolean draining;
 
@@ -78,7 +78,7 @@
     return draining;
   }
 
-  /** Returns the number of remembered jobs, including the retired ones. */
+  /** Returns the number of recorded jobs, including the retired ones. */
   public int rememberedJobs() {
     return jobs.size() + retiredJobs.size();
   }
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Switches to a new incarnation after the control replicas have ended the old one. Started tasks
-   * stay remembered; grants to the old incarnation are refused from now on.
+   * Switches to a new incarnation after the control replicas have ended the old one. The records of
+   * started tasks are kept; grants to the old incarnation are refused from now on.
    */
   public void renewIncarnation(long newIncarnation) {
     if (newIncarnation <= incarnation) {
@@ -103,14 +103,14 @@
   }
 
   /**
-   * Extends the lease, during which new work may start, and forgets jobs that were admitted before
-   * the floor and have no running tasks.
+   * Extends the lease, during which new work may start, and removes the records of jobs that were
+   * admitted before the floor and have no running tasks.
    *
-   * @param untilMs the end of the lease
-   * @param newFloorMs the earliest time of admission that is still remembered
+   * @param expiresAtMs the end of the lease
+   * @param newFloorMs the earliest time of admission of which records are kept
    */
-  public void onLease(long untilMs, long newFloorMs) {
-    leaseUntilMs = Math.max(leaseUntilMs, untilMs);
+  public void onLease(long expiresAtMs, long newFloorMs) {
+    leaseExpiresAtMs = Math.max(leaseExpiresAtMs, expiresAtMs);
     if (newFloorMs > floorMs) {
       floorMs = newFloorMs;
       jobs.values().removeIf(job -> job.admittedAtMs() < floorMs && !job.hasRunningTasks());
@@ -118,14 +118,14 @@
     }
   }
 
-  /** Drops the lease, which may have expired while this box was suspended. */
+  /** Drops the lease, which may have expired while this box was asleep. */
   public void dropLease() {
-    leaseUntilMs = Long.MIN_VALUE;
+    leaseExpiresAtMs = Long.MIN_VALUE;
   }
 
   /** Returns whether the agent has a valid lease. */
   public boolean hasLease(long nowMs) {
-    return nowMs < leaseUntilMs;
+    return nowMs < leaseExpiresAtMs;
   }
 
   /** Sets whether the agent refuses new work. */
@@ -273,9 +273,9 @@
       return;
     }
     if (!retiredJobs.containsKey(revoke.jobId())) {
-      JobLedger barredJob =
+      JobLedger knownJob =
           jobs.computeIfAbsent(revoke.jobId(), id -> new JobLedger(revoke.admittedAtMs()));
-      revokeGrant(barredJob, revoke);
+      revokeGrant(knownJob, revoke);
     }
     sendNotStarted(
         connectionId,
@@ -295,7 +295,8 @@
 
   private void onFenceJob(long connectionId, FenceJob fence) {
     if (retiredJobs.containsKey(fence.jobId())) {
-      // The outcome is committed, so the entry is about to learn that its takeover came too late.
+      // The outcome is committed, so the entry is about to learn that its adoption of the job came
+      // too late.
       return;
     }
     JobLedger job = jobs.computeIfAbsent(fence.jobId(), id -> new JobLedger(fence.admittedAtMs()));
@@ -348,7 +349,7 @@
 
   /**
    * Handles a run for which the backend server accepted no connection, so that the payload
-   * certainly did not run. The grant is barred from starting the task; a later grant may start it.
+   * certainly did not run. The grant is revoked; a later grant may start the task.
    */
   public List<LedgerEffect> onBackendUnreachable(RunKey key) {
     switch (key) {
@@ -451,8 +452,8 @@
   }
 
   private List<LedgerEffect> drainEffects() {
-    List<LedgerEffect> taken = List.copyOf(effects);
+    List<LedgerEffect> drained = List.copyOf(effects);
     effects.clear();
-    return taken;
+    return drained;
   }
 }
--- a/core/src/main/java/io/hingehoist/worker/package-info.java
+++ b/core/src/main/java/io/hingehoist/worker/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of an agent: which tasks it starts, what it remembers of them, and which entries
+ * The decisions of an agent: which tasks it starts, what it records about them, and which entries
  * may use its slots.
  *
  * <p>Start with {@link io.hingehoist.worker.TaskLedger}. The classes of this package use no
--- a/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
+++ b/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
@@ -50,7 +50,7 @@
 public final class AgentNode implements AutoCloseable {
   private static final Logger LOG = Logger.getLogger(AgentNode.class);
   private static final int MAX_QUEUED_FRAMES = 4_096;
-  private static final long HEARTBEAT_MS = 500;
+  private static final long HEARTBEAT_PERIOD_MS = 500;
   private static final long POLL_MS = 50;
   private static final int MAX_BATCH = 64;
   private static final long DEREGISTRATION_TIMEOUT_MS = 2_000;
@@ -80,7 +80,7 @@
       AgentSection settings,
       Metrics metrics,
       ThreadFactory threads,
-      Consumer<Throwable> fatal)
+      Consumer<Throwable> onFatalError)
       throws IOException {
     this.node = node;
     this.settings = settings;
@@ -94,7 +94,7 @@
         ControlClient.create(
             node.controlAddresses(), settings.listenAddress(), hello, metrics, threads);
     this.taskExecutor = Executors.newFixedThreadPool(settings.slots(), threads);
-    this.loop = InboxLoop.create("ledger", POLL_MS, MAX_BATCH, this::onBatch, fatal);
+    this.loop = InboxLoop.create("ledger", POLL_MS, MAX_BATCH, this::onBatch, onFatalError);
     this.server =
         FrameServer.open(
             Addresses.firstNonEmpty(settings.bindAddress(), settings.listenAddress()),
@@ -110,9 +110,9 @@
       AgentSection settings,
       Metrics metrics,
       ThreadFactory threads,
-      Consumer<Throwable> fatal)
+      Consumer<Throwable> onFatalError)
       throws IOException {
-    AgentNode agent = new AgentNode(node, settings, metrics, threads, fatal);
+    AgentNode agent = new AgentNode(node, settings, metrics, threads, onFatalError);
     agent.loop.start();
     LOG.infof(
         "event=agentStarted agent=%s incarnation=%d", node.nodeId(), agent.ledger.incarnation());
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Drops the lease if this box may have been suspended. After that, only a heartbeat sent since
-   * can renew it.
+   * Drops the lease if this box may have been asleep. Only the response to a heartbeat that is sent
+   * afterwards can renew it.
    */
   private void checkSleep() {
     long sleptMs = sleepDetector.sleptMs();
@@ -142,7 +142,7 @@
   }
 
   private void onTick(long now) {
-    if (!heartbeatPending && now - heartbeatSentAtMs >= HEARTBEAT_MS) {
+    if (!heartbeatPending && now - heartbeatSentAtMs >= HEARTBEAT_PERIOD_MS) {
       sendHeartbeat(now);
     }
     boolean hasLease = ledger.hasLease(now);
@@ -250,8 +250,8 @@
   // Methods called on traffic threads.
 
   private void run(LedgerEffect.Run run) {
-    BackendResult answer = backend.run(taskNameOf(run.key()), run.payload(), run.timeoutMs());
-    loop.add(() -> onBackendResult(run.key(), answer));
+    BackendResult result = backend.run(taskNameOf(run.key()), run.payload(), run.timeoutMs());
+    loop.add(() -> onBackendResult(run.key(), result));
   }
 
   private static String taskNameOf(RunKey key) {
@@ -261,8 +261,8 @@
     };
   }
 
-  private void onBackendResult(RunKey key, BackendResult answer) {
-    switch (answer) {
+  private void onBackendResult(RunKey key, BackendResult result) {
+    switch (result) {
       case BackendResult.Ended ended -> {
         metrics.countTask(ended.state().name());
         carryOut(ledger.onRunEnded(key, ended.state(), ended.result(), ended.ranMicros()));
@@ -329,8 +329,8 @@
    * archive}.
    */
   public void warmUp() {
-    BackendResult answer = backend.run("rehearsal", "", WARM_UP_TIMEOUT_MS);
-    LOG.infof("event=rehearsed answer=\"%s\"", answer);
+    BackendResult result = backend.run("rehearsal", "", WARM_UP_TIMEOUT_MS);
+    LOG.infof("event=rehearsed answer=\"%s\"", result);
     await(settled, WARM_UP_TIMEOUT_MS);
   }
 
@@ -338,7 +338,7 @@
    * Performs a planned stop. It refuses new work at once, waits until nothing runs and every job
    * that used this agent has its outcome, and deregisters from the control replicas.
    *
-   * @return whether all of this work was settled before the time-out
+   * @return whether all of this work was settled before the timeout
    */
   public boolean stop() {
     loop.add(
--- a/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
+++ b/daemon/src/main/java/io/hingehoist/agent/BackendClient.java
@@ -70,7 +70,7 @@
             .build());
     long startNanos = System.nanoTime();
     try {
-      return http.execute(post, response -> toAnswer(response, startNanos));
+      return http.execute(post, response -> toResult(response, startNanos));
     } catch (ConnectException e) {
       return new BackendResult.NotReached(String.valueOf(e.getMessage()));
     } catch (IOException e) {
@@ -79,7 +79,7 @@
     }
   }
 
-  private static BackendResult toAnswer(ClassicHttpResponse response, long startNanos)
+  private static BackendResult toResult(ClassicHttpResponse response, long startNanos)
       throws IOException {
     String body;
     try {
--- a/daemon/src/main/java/io/hingehoist/client/ControlClient.java
+++ b/daemon/src/main/java/io/hingehoist/client/ControlClient.java
@@ -34,7 +34,7 @@
 /**
  * A client of the control replicas that finds their current leader. Thread-safe.
  *
- * <p>Futures of calls that are attempted once, or up to a time-out, fail with {@link
+ * <p>Futures of calls that are attempted once, or up to a timeout, fail with {@link
  * ControlUnavailableException}; those of proposals never fail, because proposals are retried until
  * they are applied. All state is confined to one internal thread.
  */
@@ -271,7 +271,7 @@
     closeConnection("another replica is the leader");
   }
 
-  /** Drops the connection if a response is overdue: the replica may be frozen or unreachable. */
+  /** Drops the connection if a response is overdue: the replica may be paused or unreachable. */
   private void checkTimeouts() {
     long now = nowMs();
     boolean timedOut = pending.values().stream().anyMatch(request -> request.expiresAtMs() <= now);
--- a/daemon/src/main/java/io/hingehoist/daemon/package-info.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The program {@code hingehoistd}: starts and stops the processes.
  *
- * <p>Begin with {@link io.hingehoist.daemon.Main}.
+ * <p>Start with {@link io.hingehoist.daemon.Main}.
  */
 package io.hingehoist.daemon;
--- a/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
+++ b/daemon/src/main/java/io/hingehoist/entry/EntryNode.java
@@ -81,7 +81,7 @@
       EntrySection settings,
       Metrics metrics,
       ThreadFactory threads,
-      Consumer<Throwable> fatal) {
+      Consumer<Throwable> onFatalError) {
     this.node = node;
     this.settings = settings;
     this.metrics = metrics;
@@ -90,7 +90,7 @@
         ControlClient.create(
             node.controlAddresses(), settings.httpAddress(), hello, metrics, threads);
     this.dispatcher = Dispatcher.create(node.zone(), new Random());
-    this.loop = InboxLoop.create("dispatch", POLL_MS, MAX_BATCH, this::onBatch, fatal);
+    this.loop = InboxLoop.create("dispatch", POLL_MS, MAX_BATCH, this::onBatch, onFatalError);
     this.links =
         new AgentLinks(
             settings.httpAddress(), hello, new AgentListener(), loop::add, metrics, threads);
@@ -115,8 +115,8 @@
       EntrySection settings,
       Metrics metrics,
       ThreadFactory threads,
-      Consumer<Throwable> fatal) {
-    EntryNode entry = new EntryNode(node, settings, metrics, threads, fatal);
+      Consumer<Throwable> onFatalError) {
+    EntryNode entry = new EntryNode(node, settings, metrics, threads, onFatalError);
     entry.loop.start();
     return entry;
   }
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Drops the lease if this box may have been suspended. After that, only a heartbeat sent since
-   * can renew it.
+   * Drops the lease if this box may have been asleep. Only the response to a heartbeat that is sent
+   * afterwards can renew it.
    */
   private void checkSleep() {
     long sleptMs = sleepDetector.sleptMs();
@@ -326,7 +326,7 @@
    * Performs a planned stop. It fails the health check, then refuses new work, then waits until
    * every caller has an answer, and hands the remaining jobs over to other entries.
    *
-   * @return whether all work was settled before the time-out
+   * @return whether all work was settled before the timeout
    */
   public boolean stop() {
     stopRequested = true;
--- a/daemon/src/main/java/io/hingehoist/entry/JobManager.java
+++ b/daemon/src/main/java/io/hingehoist/entry/JobManager.java
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Refuses a submission unless its job is already known. A resubmission must not be told "not run"
-   * about a job that was admitted before.
+   * Refuses a submission unless its job is already known. The answer "refused" means that no task
+   * runs, which would be wrong for a resubmission of an admitted job.
    */
   private void refuseUnlessKnown(LocalJob job, RequestOutcome.Refused refusal) {
     JobSubmission submission = job.submission();
@@ -190,7 +190,7 @@
 
   /**
    * Retries an admission whose incarnation ended while the command was in flight, for example after
-   * the process was frozen. Nothing was admitted, and this entry is about to register again. The
+   * the process was paused. Nothing was admitted, and this entry is about to register again. The
    * caller's deadline bounds the number of retries.
    */
   private void retryAdmission(LocalJob job) {
--- a/daemon/src/main/java/io/hingehoist/host/HostNode.java
+++ b/daemon/src/main/java/io/hingehoist/host/HostNode.java
@@ -183,11 +183,11 @@
   private void carryOut(HostEffect effect) {
     switch (effect) {
       case HostEffect.StartCall call ->
-          workers.start(call, loop.andFlush(answer -> onStartCompleted(call, answer)));
+          workers.start(call, loop.andFlush(result -> onStartCompleted(call, result)));
       case HostEffect.StopCall call ->
-          workers.stop(call, loop.andFlush(answered -> onStopCompleted(call, answered)));
+          workers.stop(call, loop.andFlush(confirmed -> onStopCompleted(call, confirmed)));
       case HostEffect.PollCall call ->
-          workers.poll(call, loop.andFlush(answer -> onPollCompleted(call, answer)));
+          workers.poll(call, loop.andFlush(result -> onPollCompleted(call, result)));
       case HostEffect.CloseConnections closeConnections ->
           workers.closeConnections(closeConnections.address());
       case HostEffect.SendToOwner send -> owners.send(send.sessionId(), send.message());
@@ -208,19 +208,19 @@
     }
   }
 
-  private void onStartCompleted(HostEffect.StartCall call, StartResult answer) {
+  private void onStartCompleted(HostEffect.StartCall call, StartResult result) {
     checkSleep();
-    host.startCallCompleted(call.instanceId(), call.run(), answer, EventLoop.nowMs());
+    host.startCallCompleted(call.instanceId(), call.run(), result, EventLoop.nowMs());
   }
 
-  private void onStopCompleted(HostEffect.StopCall call, boolean answered) {
+  private void onStopCompleted(HostEffect.StopCall call, boolean confirmed) {
     checkSleep();
-    host.stopCallCompleted(call.instanceId(), call.run(), answered, EventLoop.nowMs());
+    host.stopCallCompleted(call.instanceId(), call.run(), confirmed, EventLoop.nowMs());
   }
 
-  private void onPollCompleted(HostEffect.PollCall call, PollResult answer) {
+  private void onPollCompleted(HostEffect.PollCall call, PollResult result) {
     checkSleep();
-    host.pollCallCompleted(call.instanceId(), answer, EventLoop.nowMs());
+    host.pollCallCompleted(call.instanceId(), result, EventLoop.nowMs());
   }
 
   // Messages of workers, owners and control replicas.
--- a/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
+++ b/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
@@ -32,12 +32,12 @@
  * to the event loop.
  */
 final class OwnerLinks implements AutoCloseable {
-  /** The time-out before a session starts: that of a session whose owner has runs here. */
+  /** The timeout before a session opens: that of a session whose owner has runs here. */
   private static final long SILENCE_TIMEOUT_MS = SilenceTimeouts.forOwnerMs(false, Long.MAX_VALUE);
 
   /** Handles the events of sessions. Called on the event loop. */
   interface Listener {
-    /** Called when a session starts. */
+    /** Called when a session opens. */
     void onOpened(long sessionId, String ownerId);
 
     /** Called when a session resumes on a new connection. */
@@ -50,7 +50,7 @@
     void onEnded(long sessionId, String reason);
 
     /**
-     * Called when a session has no connection.
+     * Called when a session loses its connection.
      *
      * @param heardAgoMs the time since the last message on the session's connection
      */
--- a/daemon/src/main/java/io/hingehoist/loop/InboxLoop.java
+++ b/daemon/src/main/java/io/hingehoist/loop/InboxLoop.java
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Ends the thread after the current batch, and waits for its end up to a time-out. */
+  /** Ends the thread after the current batch, and waits for its end up to a timeout. */
   public void close(long timeoutMs) {
     close();
     try {
--- a/daemon/src/main/java/io/hingehoist/loop/NodeLoop.java
+++ b/daemon/src/main/java/io/hingehoist/loop/NodeLoop.java
@@ -82,7 +82,7 @@
 
   /**
    * Performs the planned stop: begins it on the loop, and waits until the node has completed it or
-   * its time-out has passed. Called from another thread than the event loop.
+   * its timeout has passed. Called from another thread than the event loop.
    *
    * @param onBegin the node's first step of the stop, called with the time
    * @return whether the stop was completed in time
--- a/daemon/src/main/java/io/hingehoist/loop/SleepDetector.java
+++ b/daemon/src/main/java/io/hingehoist/loop/SleepDetector.java
@@ -1,10 +1,11 @@
 package io.hingehoist.loop;
 
 /**
- * Detects that this box may have been asleep (suspended): its monotonic clock stops during a sleep,
- * while the time of day advances. As the time of day may also have been set forward, the result is
- * only a suspicion; the holder of a lease then verifies it with the other side, at the cost of one
- * round trip. Not thread-safe: confined to the loop of a node.
+ * Detects that this box may have been asleep (a suspend of the system or its virtual machine): its
+ * monotonic clock stops during a sleep, while the time of day advances. As the time of day may also
+ * have been set forward, the result is only a suspicion; the holder of a lease then verifies it
+ * with the other side, at the cost of one round trip. Not thread-safe: confined to the loop of a
+ * node.
  */
 public final class SleepDetector {
   /** Far below any lease, and above the drift between the clocks of a box between two calls. */
--- a/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
+++ b/daemon/src/main/java/io/hingehoist/metrics/Metrics.java
@@ -16,8 +16,7 @@
  * processes. Thread-safe.
  *
  * <p>Metrics are built without exemplars. Nothing is traced here, and the exemplar sampler has a
- * thread that the counted events wake up, which took 0.05 s of 2 s of a host's CPU time ({@code
- * ./bench --profile}).
+ * thread that the counted events wake up, which took 0.05 s of 2 s of a host's CPU time.
  */
 public final class Metrics {
   private static final double[] DURATION_BUCKETS_S = {
--- a/daemon/src/main/java/io/hingehoist/net/PeerLink.java
+++ b/daemon/src/main/java/io/hingehoist/net/PeerLink.java
@@ -24,7 +24,7 @@
   private static final long RETRY_DELAY_MS = 100;
 
   /**
-   * The limit of the factor of the silence time-out, which doubles after each connection that fell
+   * The limit of the factor of the silence timeout, which doubles after each connection that fell
    * silent early.
    */
   private static final int MAX_TIMEOUT_FACTOR = 4;
--- a/daemon/src/main/java/io/hingehoist/net/PlannedStop.java
+++ b/daemon/src/main/java/io/hingehoist/net/PlannedStop.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A planned stop of a process. It begins once and ends when the node completes it or at a time-out.
+ * A planned stop of a process. It begins once and ends when the node completes it or at a timeout.
  * Not thread-safe: confined to the event loop, except for {@link #await}.
  */
 public final class PlannedStop {
-  /** The part of the time-out that is reserved for the end of the process. */
+  /** The part of the timeout that is reserved for the end of the process. */
   private static final long MARGIN_MS = 300;
 
   private final long timeoutMs;
--- a/daemon/src/main/java/io/hingehoist/net/PooledHttpClient.java
+++ b/daemon/src/main/java/io/hingehoist/net/PooledHttpClient.java
@@ -35,7 +35,7 @@
    * A request to send.
    *
    * @param instance the instance of the called process that the request is for; empty for any
-   * @param timeoutMs the time-out of the response, after which the connection is closed
+   * @param timeoutMs the timeout of the response, after which the connection is closed
    * @param newConnection whether to open a new connection even if an idle one is available
    */
   public record Call(
@@ -159,7 +159,7 @@
     private Optional<PendingCall> inFlight = Optional.empty();
 
     /**
-     * Cancels the time-out of the request in flight. If the timers of answered requests kept
+     * Cancels the timeout of the request in flight. If the timers of answered requests kept
      * running, they would wake a host about 70 times a second at 30 task starts a second, which is
      * one wake-up in five.
      */
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -49,14 +49,17 @@
 
   /** Handles the events of sessions. Called on the event loop. */
   interface Listener {
-    /** Called when a host opens a session, or sends the message that opens it again. */
+    /**
+     * Called when a host opens a session, and when it repeats that message because all runs of
+     * former sessions are over.
+     */
     void onOpened(String hostId, SessionOpened opened);
 
     /** Called for each message that this class does not handle itself. */
     void onMessage(String hostId, Message message);
 
     /**
-     * Called when a session has no connection, or nothing is received on its connection.
+     * Called when a session loses its connection, or nothing is received on it.
      *
      * @param heardAgoMs the time since the last message on the session's connection
      */
@@ -77,7 +80,7 @@
     void onAnnounce(Peer peer);
 
     /**
-     * Called when a host asks for a proof that its session is still alive.
+     * Called when a host probes whether its session still exists.
      *
      * @param replies accepts the proof
      */
--- a/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/ControlNode.java
@@ -84,7 +84,7 @@
   private static final long CLOCK_INTERVAL_MS = 5_000;
   private static final long REPROPOSE_INTERVAL_MS = 1_000;
 
-  /** The time-out for the last group commit, including the sync of a slow disk. */
+  /** The timeout for the last group commit, including the sync of a slow disk. */
   private static final long CLOSE_TIMEOUT_MS = 5_000;
 
   private static final long MAX_SEGMENT_BYTES = 64L * 1024 * 1024;
--- a/daemon/src/main/java/io/hingehoist/quorum/LocalOperatorCommands.java
+++ b/daemon/src/main/java/io/hingehoist/quorum/LocalOperatorCommands.java
@@ -27,8 +27,8 @@
 import java.util.function.Consumer;
 
 /**
- * Submits operators' orders to the replica of this process. Not thread-safe: confined to the event
- * loop.
+ * Submits operators' commands to the replica of this process. Not thread-safe: confined to the
+ * event loop.
  */
 public final class LocalOperatorCommands implements OperatorCommands {
   private static final long TIMEOUT_MS = 2_500;
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Returns the orders to a replica, with the name of the document that holds the configuration.
+   * Returns the commands for a replica, with the name of the document that holds the configuration.
    */
   public static LocalOperatorCommands of(ControlNode control, EventLoop loop, String document) {
     return new LocalOperatorCommands(control, loop, document);
@@ -71,8 +71,8 @@
     changeZone(new ChangeZone(zone, false, OPERATOR), result);
   }
 
-  private void changeZone(ChangeZone order, Consumer<Result> result) {
-    Bytes command = order.toBytes();
+  private void changeZone(ChangeZone change, Consumer<Result> result) {
+    Bytes command = change.toBytes();
     submit(id -> new ProposeRequest(id, command), result);
   }
 
--- a/daemon/src/test/java/io/hingehoist/net/PeerLinkTest.java
+++ b/daemon/src/test/java/io/hingehoist/net/PeerLinkTest.java
@@ -154,7 +154,7 @@
   }
 
   /**
-   * Guards against a time-out that stays longer after the first connections of a starting process
+   * Guards against a timeout that stays longer after the first connections of a starting process
    * fell silent: a session's lease would then expire before its silent connection is replaced.
    */
   @Test
@@ -170,7 +170,7 @@
     loop.scheduleRepeating(() -> second.send(new OwnerBeat(8, true)), TICK_MS);
     long deadlineMs = EventLoop.nowMs() + TimeUnit.SECONDS.toMillis(20);
     while (onLoop(link::silenceTimeoutMs) != SILENCE_TIMEOUT_MS) {
-      assertTrue(EventLoop.nowMs() < deadlineMs, "the time-out is still longer than usual");
+      assertTrue(EventLoop.nowMs() < deadlineMs, "the timeout is still longer than usual");
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICK_MS));
     }
     loop.execute(link::close);
--- a/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
+++ b/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
@@ -53,7 +53,7 @@
             FrameConnection.start(
                 server.accept(), countDownOnClose(closed), Metrics.create(), Thread::new, 100)) {
       assertTrue(answering.isOpen(), link.address());
-      // Three times the time-out after which a silent connection is closed.
+      // Three times the timeout after which a silent connection is closed.
       assertTrue(!closed.await(7, TimeUnit.SECONDS), "the connection was closed");
     }
   }
