--- a/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
+++ b/core/src/main/java/io/hingehoist/dispatch/Dispatcher.java
@@ -37,12 +37,12 @@
  * milliseconds of a monotonic clock. Not thread-safe: confined to the dispatch thread.
  */
 public final class Dispatcher {
-  private static final long RETIRE_PERIOD_MS = 5_000;
+  private static final long RETIRE_INTERVAL_MS = 5_000;
 
   /** Shorter than for other agents, because a draining agent can't stop before its jobs retire. */
-  private static final long DRAINING_RETIRE_PERIOD_MS = 100;
+  private static final long DRAINING_RETIRE_INTERVAL_MS = 100;
 
-  private static final long EJECTION_PERIOD_MS = 100;
+  private static final long EJECTION_INTERVAL_MS = 100;
 
   /** Time without new work for a worker whose backend server accepted no connection. */
   private static final long UNREACHABLE_PAUSE_MS = 500;
@@ -331,15 +331,15 @@
       }
     }
     requests.onTick(nowMs);
-    if (nowMs - retirementsSentAtMs >= RETIRE_PERIOD_MS) {
+    if (nowMs - retirementsSentAtMs >= RETIRE_INTERVAL_MS) {
       retirementsSentAtMs = nowMs;
       jobs.sendRetirements(agentId -> true);
     }
-    if (nowMs - drainingRetirementsSentAtMs >= DRAINING_RETIRE_PERIOD_MS) {
+    if (nowMs - drainingRetirementsSentAtMs >= DRAINING_RETIRE_INTERVAL_MS) {
       drainingRetirementsSentAtMs = nowMs;
       jobs.sendRetirements(this::isDraining);
     }
-    if (nowMs - ejectionCheckedAtMs >= EJECTION_PERIOD_MS) {
+    if (nowMs - ejectionCheckedAtMs >= EJECTION_INTERVAL_MS) {
       ejectionCheckedAtMs = nowMs;
       ejectSlowWorkers(nowMs);
     }
--- a/core/src/main/java/io/hingehoist/run/RunTiming.java
+++ b/core/src/main/java/io/hingehoist/run/RunTiming.java
@@ -25,17 +25,17 @@
    * The period of an owner's heartbeats to a host where runs of it may be active. With a lease of
    * 650 ms this leaves 450 ms to detect a silent connection (300 ms) and to replace it.
    */
-  public static final long HEARTBEAT_PERIOD_MS = 200;
+  public static final long HEARTBEAT_INTERVAL_MS = 200;
 
   /**
    * The period of heartbeats to a host where no run of the owner is active, so that no lease needs
    * renewal. Most pairs of an owner and a host in a large fleet share no run, and their heartbeats
    * grow with the product of owners and hosts.
    */
-  public static final long IDLE_HEARTBEAT_PERIOD_MS = 1_000;
+  public static final long IDLE_HEARTBEAT_INTERVAL_MS = 1_000;
 
   /** A session without runs ends after two lost heartbeats and a margin of 500 ms for delays. */
-  public static final long IDLE_SESSION_TIMEOUT_MS = 2 * IDLE_HEARTBEAT_PERIOD_MS + 500;
+  public static final long IDLE_SESSION_TIMEOUT_MS = 2 * IDLE_HEARTBEAT_INTERVAL_MS + 500;
 
   /**
    * Returns the time limits that follow from those of a platform.
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -117,7 +117,7 @@
    * from an owner that has just started.
    */
   private static boolean expiresBeforeNextHeartbeat(OwnerSession session, long nowMs) {
-    return session.lease.remainingMs(nowMs) < RunTiming.HEARTBEAT_PERIOD_MS;
+    return session.lease.remainingMs(nowMs) < RunTiming.HEARTBEAT_INTERVAL_MS;
   }
 
   /**
--- a/core/src/test/java/io/hingehoist/control/ControlStateTest.java
+++ b/core/src/test/java/io/hingehoist/control/ControlStateTest.java
@@ -108,7 +108,7 @@
   }
 
   @Test
-  public void aForgottenSubmissionIsRefusedAndNotRunAgain() {
+  public void aSubmissionOlderThanTheRetentionIsRefusedAndNotRunAgain() {
     Admitted first = (Admitted) apply(admitJob("s", "p", "entry-1"));
     apply(new CompleteJob(first.jobId(), 1, completeOutcome("r")));
     nowMs += 700_000;
@@ -118,7 +118,7 @@
   }
 
   @Test
-  public void aLongerRetentionDoesNotReadmitAForgottenSubmission() {
+  public void aLongerRetentionDoesNotReadmitADeletedSubmission() {
     nowMs += 700_000;
     apply(new AdvanceClock(600_000));
     apply(new AdvanceClock(6_000_000));
--- a/core/src/test/java/io/hingehoist/directory/PeerDirectoryTest.java
+++ b/core/src/test/java/io/hingehoist/directory/PeerDirectoryTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  public void expiresProcessesNotHeardOf() {
+  public void expiresRecordsThatWereNotRenewed() {
     PeerDirectory directory = PeerDirectory.create(10_000);
     directory.recordAnnounced(peer("a:1", 1), 1_000);
     long version = directory.version();
--- a/core/src/test/java/io/hingehoist/replication/ReplicaGroup.java
+++ b/core/src/test/java/io/hingehoist/replication/ReplicaGroup.java
@@ -85,17 +85,17 @@
     }
 
     void step(ReplicaEvent event) {
-      execute(replica.step(event, nowMs));
-      execute(replica.flush(nowMs));
+      carryOut(replica.step(event, nowMs));
+      carryOut(replica.flush(nowMs));
     }
 
-    private void execute(List<ReplicaEffect> effects) {
+    private void carryOut(List<ReplicaEffect> effects) {
       for (ReplicaEffect effect : effects) {
-        execute(effect);
+        carryOut(effect);
       }
     }
 
-    private void execute(ReplicaEffect effect) {
+    private void carryOut(ReplicaEffect effect) {
       switch (effect) {
         case ReplicaEffect.Send send -> enqueue(this, send.address(), send.message());
         case ReplicaEffect.SendAfterSync send -> afterSync.add(send);
--- a/core/src/test/java/io/hingehoist/run/LoadSimulation.java
+++ b/core/src/test/java/io/hingehoist/run/LoadSimulation.java
@@ -189,7 +189,7 @@
     private final double speed;
     private final Map<Integer, OpenRuns> openRuns = new HashMap<>();
     private final Map<Integer, Long> heartbeatSentAtMs = new HashMap<>();
-    private Optional<HostEffect.PollCall> openHold = Optional.empty();
+    private Optional<HostEffect.PollCall> pendingPoll = Optional.empty();
 
     private Host(String id, Room capacity, WorkerFault fault, double speed) {
       this.speed = speed;
@@ -223,8 +223,8 @@
       for (int owner = 0; owner < owners.size(); owner++) {
         long periodMs =
             openRuns(owner).isEmpty()
-                ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS
-                : RunTiming.HEARTBEAT_PERIOD_MS;
+                ? RunTiming.IDLE_HEARTBEAT_INTERVAL_MS
+                : RunTiming.HEARTBEAT_INTERVAL_MS;
         if (nowMs - heartbeatSentAtMs.getOrDefault(owner, -periodMs) >= periodMs) {
           sendHeartbeat(owner);
         }
@@ -257,14 +257,14 @@
     private void carryOut(HostEffect effect) {
       switch (effect) {
         case HostEffect.StartCall call -> after(WORKER_DELAY_MS, () -> start(call));
-        case HostEffect.PollCall call -> after(WORKER_DELAY_MS, () -> hold(call));
+        case HostEffect.PollCall call -> after(WORKER_DELAY_MS, () -> respondToPoll(call));
         case HostEffect.SendToOwner to ->
             after(LINK_DELAY_MS, () -> receiveAtOwner((int) to.sessionId(), to));
         case HostEffect.StopCall call -> after(WORKER_DELAY_MS, () -> stop(call));
         case HostEffect.CloseSession close ->
             throw new IllegalStateException("session closed by host, lease expired");
-        case HostEffect.CloseConnections forget -> {}
-        case HostEffect.LogDecision noted -> {}
+        case HostEffect.CloseConnections closed -> {}
+        case HostEffect.LogDecision logged -> {}
       }
     }
 
@@ -310,16 +310,16 @@
     private void end(RunRef run, RunEnd end) {
       if (runs.remove(run) != null) {
         ended.add(new PollResult.Ended(ended.size() + 1, run, end));
-        openHold.ifPresent(this::answer);
+        pendingPoll.ifPresent(this::answer);
       }
     }
 
-    private void hold(HostEffect.PollCall call) {
-      openHold = Optional.of(call);
+    private void respondToPoll(HostEffect.PollCall call) {
+      pendingPoll = Optional.of(call);
       if (call.lastSeen() < ended.size()) {
         answer(call);
       } else {
-        after(call.waitMs(), () -> openHold.filter(call::equals).ifPresent(this::answer));
+        after(call.waitMs(), () -> pendingPoll.filter(call::equals).ifPresent(this::answer));
       }
     }
 
@@ -335,7 +335,7 @@
     }
 
     private void answer(HostEffect.PollCall call) {
-      openHold = Optional.empty();
+      pendingPoll = Optional.empty();
       List<PollResult.Ended> newEnds =
           List.copyOf(ended.subList((int) call.lastSeen(), ended.size()));
       PollResult answer = new PollResult.Listed(nowMs, running(), newEnds);
@@ -693,7 +693,7 @@
         case OwnerEffect.SendToHost to ->
             after(LINK_DELAY_MS, () -> hosts.get(to.hostId()).receive(owner, to.message()));
         case OwnerEffect.AnswerJob answer -> answered(callers.get(answer.jobId()), answer.end());
-        case OwnerEffect.LogDecision noted -> {}
+        case OwnerEffect.LogDecision logged -> {}
       }
     }
   }
--- a/core/src/test/java/io/hingehoist/run/RunSimulation.java
+++ b/core/src/test/java/io/hingehoist/run/RunSimulation.java
@@ -41,7 +41,7 @@
 final class RunSimulation {
   static final RunTiming TIMING = RunTiming.of(1_300, 1_000, 50);
   private static final long STEP_MS = 5;
-  private static final long HEARTBEAT_PERIOD_MS = 150;
+  private static final long HEARTBEAT_INTERVAL_MS = 150;
   private static final long RESUBMIT_AFTER_MS = 1_300;
   private static final long MAX_LATE_CALL_DELAY_MS = 12_000;
   private static final long MIN_SLOW_CALL_MS = 20;
@@ -90,8 +90,8 @@
             }
           }
           case OwnerEffect.AnswerJob answer -> answered(this, answer.jobId(), answer.end());
-          case OwnerEffect.LogDecision noted ->
-              trace.add(nowMs + " " + id + " " + noted.decision());
+          case OwnerEffect.LogDecision logged ->
+              trace.add(nowMs + " " + id + " " + logged.decision());
         }
       }
     }
@@ -164,7 +164,7 @@
                 false,
                 false,
                 a -> caller.stopCallCompleted(call.workerId(), call.run(), a, nowMs));
-        case HostEffect.PollCall call -> hold(caller, call, nowMs + call.waitMs());
+        case HostEffect.PollCall call -> respondToPoll(caller, call, nowMs + call.waitMs());
         case HostEffect.SendToOwner to -> {
           Session session = sessions.get(to.sessionId());
           if (session != null) {
@@ -177,12 +177,12 @@
             session.closedByHost();
           }
         }
-        case HostEffect.CloseConnections forget -> {}
-        case HostEffect.LogDecision noted -> trace.add(nowMs + " " + id + " " + noted.decision());
+        case HostEffect.CloseConnections closed -> {}
+        case HostEffect.LogDecision logged -> trace.add(nowMs + " " + id + " " + logged.decision());
       }
     }
 
-    private void hold(WorkerHost caller, HostEffect.PollCall call, long untilMs) {
+    private void respondToPoll(WorkerHost caller, HostEffect.PollCall call, long untilMs) {
       boolean waits =
           worker.up
               && worker.id.equals(call.workerId())
@@ -192,7 +192,7 @@
         if (nowMs == untilMs - call.waitMs()) {
           worker.poll(call.deadlineMs(), call.token(), 0, nowMs);
         }
-        after(STEP_MS, () -> hold(caller, call, untilMs));
+        after(STEP_MS, () -> respondToPoll(caller, call, untilMs));
         return;
       }
       callWorker(
@@ -474,15 +474,15 @@
       }
     }
 
-    void endAtOwner(boolean isSilent) {
-      endAtOwner(isSilent, nowMs);
+    void endAtOwner(boolean mayHoldLease) {
+      endAtOwner(mayHoldLease, nowMs);
     }
 
-    private void endAtOwner(boolean isSilent, long leaseSinceMs) {
+    private void endAtOwner(boolean mayHoldLease, long leaseRenewedAtMs) {
       if (openAtOwner) {
         openAtOwner = false;
         owner.sessions.remove(box.id);
-        owner.jobs.sessionLost(box.id, isSilent, leaseSinceMs);
+        owner.jobs.sessionLost(box.id, mayHoldLease, leaseRenewedAtMs);
         if (!silent) {
           at(Math.max(nowMs, cutEndsMs()) + 2, this::endAtHost);
         }
@@ -500,7 +500,7 @@
       } else if (nowMs - silentSinceMs() >= sessionTimeoutMs()) {
         endAtOwner(true);
       } else if (nowMs
-              % (openRuns.isEmpty() ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS : HEARTBEAT_PERIOD_MS)
+              % (openRuns.isEmpty() ? RunTiming.IDLE_HEARTBEAT_INTERVAL_MS : HEARTBEAT_INTERVAL_MS)
           < 25) {
         toHost(new OwnerBeat(nowMs, owner.jobs.follows(box.id)));
       }
--- a/core/src/test/java/io/hingehoist/run/host/HostSleepTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostSleepTest.java
@@ -28,7 +28,7 @@
   private WorkerHost host;
 
   @BeforeMethod
-  public void suspendWithARun() {
+  public void sleepWithARun() {
     fixture = HostFixture.startedLongBefore(1_000);
     host = fixture.host;
     host.workerHeartbeat(HostFixture.worker("w", CAPACITY, 1), 1_000);
@@ -67,14 +67,14 @@
   }
 
   @Test
-  public void aHeartbeatReceivedDuringTheSuspendDoesNotRenewTheLease() {
+  public void aHeartbeatReceivedDuringTheSleepDoesNotRenewTheLease() {
     host.ownerHeartbeat(SESSION, 1_015, true, 1_021);
     start(1_022, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
   }
 
   @Test
-  public void aStartCallIsNotRepeatedAfterASuspend() {
+  public void aStartCallIsNotRepeatedAfterASleep() {
     long probeNumber = probeNumber();
     host.proofReceived(SESSION, probeNumber, 1_024, 1_024);
     start(1_025, ORDERED);
--- a/core/src/test/java/io/hingehoist/run/host/WorkerRestartTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerRestartTest.java
@@ -103,9 +103,9 @@
     restartWorker(1_100);
     assertEquals(sent(RunEnded.class).getFirst().end(), RunEnd.LOST);
     assertEquals(host.workerCount(), 1);
-    HostEffect.PollCall hold = all(HostEffect.PollCall.class).getFirst();
-    assertEquals(hold.workerId(), "w");
-    assertEquals(hold.lastSeen(), 0);
+    HostEffect.PollCall poll = all(HostEffect.PollCall.class).getFirst();
+    assertEquals(poll.workerId(), "w");
+    assertEquals(poll.lastSeen(), 0);
   }
 
   @Test
--- a/core/src/test/java/io/hingehoist/worker/TaskLedgerTest.java
+++ b/core/src/test/java/io/hingehoist/worker/TaskLedgerTest.java
@@ -66,7 +66,7 @@
   }
 
   @Test
-  public void aFenceBarsLowerEpochs() {
+  public void grantsOfLowerEpochsAreRefusedAfterAFence() {
     receive(new FenceJob(1, 2, ADMITTED_AT_MS));
     assertEquals(refusalReason(receive(start(1, 1, 0, 1))), NotStartedReason.STALE_EPOCH);
     assertTrue(startsRun(receive(start(1, 2, 0, 1))));
@@ -127,7 +127,7 @@
   }
 
   @Test
-  public void grantsOfAForgottenJobAreRefusedByAge() {
+  public void grantsOfAJobOlderThanTheRetentionAreRefused() {
     receive(start(1, 1, 0, 1));
     finish(1, 0);
     receive(new RetireJobs(List.of(1L)));
--- a/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
+++ b/daemon/src/main/java/io/hingehoist/agent/AgentNode.java
@@ -50,7 +50,7 @@
 public final class AgentNode implements AutoCloseable {
   private static final Logger LOG = Logger.getLogger(AgentNode.class);
   private static final int MAX_QUEUED_FRAMES = 4_096;
-  private static final long HEARTBEAT_PERIOD_MS = 500;
+  private static final long HEARTBEAT_INTERVAL_MS = 500;
   private static final long POLL_MS = 50;
   private static final int MAX_BATCH = 64;
   private static final long DEREGISTRATION_TIMEOUT_MS = 2_000;
@@ -142,7 +142,7 @@
   }
 
   private void onTick(long now) {
-    if (!heartbeatPending && now - heartbeatSentAtMs >= HEARTBEAT_PERIOD_MS) {
+    if (!heartbeatPending && now - heartbeatSentAtMs >= HEARTBEAT_INTERVAL_MS) {
       sendHeartbeat(now);
     }
     boolean hasLease = ledger.hasLease(now);
--- a/daemon/src/main/java/io/hingehoist/client/ControlClient.java
+++ b/daemon/src/main/java/io/hingehoist/client/ControlClient.java
@@ -41,7 +41,7 @@
 public final class ControlClient implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 500;
   private static final long ATTEMPT_TIMEOUT_MS = 1_500;
-  private static final long TIMEOUT_CHECK_PERIOD_MS = 100;
+  private static final long TIMEOUT_CHECK_INTERVAL_MS = 100;
   private static final long RETRY_DELAY_MS = 50;
   private static final int MAX_QUEUED_FRAMES = 8_192;
 
@@ -88,8 +88,8 @@
     ControlClient client = new ControlClient(addresses, ownAddress, hello, metrics, threads);
     client.executor.scheduleWithFixedDelay(
         client::checkTimeouts,
-        TIMEOUT_CHECK_PERIOD_MS,
-        TIMEOUT_CHECK_PERIOD_MS,
+        TIMEOUT_CHECK_INTERVAL_MS,
+        TIMEOUT_CHECK_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
     return client;
   }
--- a/daemon/src/main/java/io/hingehoist/daemon/SettingsFileWatcher.java
+++ b/daemon/src/main/java/io/hingehoist/daemon/SettingsFileWatcher.java
@@ -16,7 +16,7 @@
  * and otherwise ignored. Not thread-safe: confined to the event loop.
  */
 final class SettingsFileWatcher {
-  private static final long CHECK_PERIOD_MS = 500;
+  private static final long CHECK_INTERVAL_MS = 500;
 
   private final Path file;
   private final EventLoop loop;
@@ -35,7 +35,7 @@
 
   static void start(Path file, EventLoop loop, DecisionLog log, Consumer<DaemonSettings> changes) {
     SettingsFileWatcher watch = new SettingsFileWatcher(file, loop, log, changes);
-    loop.scheduleRepeating(watch::check, CHECK_PERIOD_MS);
+    loop.scheduleRepeating(watch::check, CHECK_INTERVAL_MS);
     HangupSignal.handle(watch::onHangup);
   }
 
--- a/daemon/src/main/java/io/hingehoist/entry/ControlSession.java
+++ b/daemon/src/main/java/io/hingehoist/entry/ControlSession.java
@@ -23,7 +23,7 @@
  */
 final class ControlSession {
   private static final Logger LOG = Logger.getLogger(ControlSession.class);
-  private static final long HEARTBEAT_PERIOD_MS = 250;
+  private static final long HEARTBEAT_INTERVAL_MS = 250;
 
   /** Receives updates from the control replicas, on the dispatch thread. */
   interface Listener {
@@ -82,7 +82,7 @@
 
   /** Sends a heartbeat if one is due. */
   void onTick(long nowMs) {
-    if (ended || heartbeatPending || nowMs - lastSentAtMs < HEARTBEAT_PERIOD_MS) {
+    if (ended || heartbeatPending || nowMs - lastSentAtMs < HEARTBEAT_INTERVAL_MS) {
       return;
     }
     heartbeatPending = true;
--- a/daemon/src/main/java/io/hingehoist/log/DecisionLog.java
+++ b/daemon/src/main/java/io/hingehoist/log/DecisionLog.java
@@ -20,7 +20,7 @@
   /** The maximum wait of an ending process for its log, if nothing reads the log. */
   private static final long CLOSE_TIMEOUT_MS = 1_000;
 
-  private static final long WRITE_PERIOD_NANOS = 200_000_000;
+  private static final long WRITE_INTERVAL_NANOS = 200_000_000;
 
   private final String node;
   private final PrintStream out;
@@ -95,7 +95,7 @@
     try {
       while (!closed) {
         String firstLine = queue.take();
-        LockSupport.parkNanos(WRITE_PERIOD_NANOS);
+        LockSupport.parkNanos(WRITE_INTERVAL_NANOS);
         flush(firstLine);
       }
     } catch (InterruptedException e) {
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -206,7 +206,7 @@
 
   private void sendHeartbeatIfDue(String hostId, Session session, long nowMs) {
     long periodMs =
-        session.isIdle() ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS : RunTiming.HEARTBEAT_PERIOD_MS;
+        session.isIdle() ? RunTiming.IDLE_HEARTBEAT_INTERVAL_MS : RunTiming.HEARTBEAT_INTERVAL_MS;
     if (nowMs - session.heartbeatSentAtMs >= periodMs) {
       session.channel.ifPresent(channel -> sendHeartbeat(hostId, session, channel));
     }
