--- a/core/src/main/java/io/hingehoist/run/RunTiming.java
+++ b/core/src/main/java/io/hingehoist/run/RunTiming.java
@@ -22,15 +22,15 @@
   private static final long MAX_WORKER_LEASE_MS = 800;
 
   /**
-   * The period of an owner's heartbeats to a host where runs of it may be active. With a lease of
+   * The interval of an owner's heartbeats to a host where runs of it may be active. With a lease of
    * 650 ms this leaves 450 ms to detect a silent connection (300 ms) and to replace it.
    */
   public static final long HEARTBEAT_INTERVAL_MS = 200;
 
   /**
-   * The period of heartbeats to a host where no run of the owner is active, so that no lease needs
-   * renewal. Most pairs of an owner and a host in a large fleet share no run, and their heartbeats
-   * grow with the product of owners and hosts.
+   * The interval of heartbeats to a host where no run of the owner is active, so that no lease
+   * needs renewal. Most pairs of an owner and a host in a large fleet share no run, and their
+   * heartbeats grow with the product of owners and hosts.
    */
   public static final long IDLE_HEARTBEAT_INTERVAL_MS = 1_000;
 
@@ -68,7 +68,7 @@
 
   /**
    * Returns the time after a broken session by which its runs have ended. The host either is
-   * healthy and stops them, or is dead and no longer renews the leases of its workers.
+   * healthy and stops them, or has failed and no longer renews the leases of its workers.
    */
   public long runsOverAfterDisconnectMs() {
     return workerRunsOverAfterMs() + STOP_MARGIN_MS;
--- a/core/src/main/java/io/hingehoist/run/SilenceTimeouts.java
+++ b/core/src/main/java/io/hingehoist/run/SilenceTimeouts.java
@@ -17,15 +17,15 @@
   /** Leaves time to send and deliver one heartbeat within the lease of an owner's runs. */
   private static final long STARTUP_TIMEOUT_MS = 550;
 
-  /** The owner's heartbeat period plus 100 ms for delays. */
+  /** The owner's heartbeat interval plus 100 ms for delays. */
   private static final long OWNER_TIMEOUT_MS = RunTiming.HEARTBEAT_INTERVAL_MS + 100;
 
   /** The same without active runs, with the margin for a slow owner that its lease has too. */
   private static final long IDLE_OWNER_TIMEOUT_MS = RunTiming.IDLE_HEARTBEAT_INTERVAL_MS + 300;
 
   /**
-   * The heartbeat period plus 150 ms. Hosts answer each heartbeat unless they sent rows within the
-   * last 100 ms, and 50 ms are for delays.
+   * The heartbeat interval plus 150 ms. Hosts answer each heartbeat unless they sent rows within
+   * the last 100 ms, and 50 ms are for delays.
    */
   private static final long HOST_TIMEOUT_MS = RunTiming.HEARTBEAT_INTERVAL_MS + 150;
 
--- a/core/src/main/java/io/hingehoist/run/host/AdaptiveTimeout.java
+++ b/core/src/main/java/io/hingehoist/run/host/AdaptiveTimeout.java
@@ -17,8 +17,8 @@
   private static final long INITIAL_TIMEOUT_MS = 60;
 
   /**
-   * A worker on the same box responds in about 1 ms; a lower minimum would count its pauses as
-   * losses.
+   * A worker on the same box responds in about 1 ms; with a lower minimum, calls during its pauses
+   * would count as lost.
    */
   private static final long MIN_TIMEOUT_MS = 20;
 
--- a/core/src/main/java/io/hingehoist/run/host/FailureBackoff.java
+++ b/core/src/main/java/io/hingehoist/run/host/FailureBackoff.java
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Returns whether the worker is on trial: its last runs failed, and a few runs are enough to find
-   * out whether it works again.
+   * Returns whether the worker is on trial: its last runs failed, and only a few runs are started
+   * to find out whether it has recovered.
    */
   boolean isOnTrial() {
     return consecutiveFailures >= FAILURES_BEFORE_PAUSE;
--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Answers an owner's probe, except while this host is unsure of the session itself. */
+  /** Answers an owner's probe unless the session is unverified here too. */
   void probeReceived(OwnerSession session, long number, long nowMs) {
     if (!session.isUnverified()) {
       outbox.send(session.id, new SessionProof(number, nowMs));
@@ -206,9 +206,9 @@
   void closeExpired(long nowMs) {
     for (OwnerSession session : sessions.all()) {
       if (session.isUnverified() && session.unverifiedForMs(nowMs) >= PROOF_TIMEOUT_MS) {
-        close(session, "not proven after a suspend", nowMs);
+        close(session, "not proven after a sleep", nowMs);
       } else if (isExpired(session, nowMs)) {
-        close(session, "lease over", nowMs);
+        close(session, "lease expired", nowMs);
       }
     }
   }
--- a/core/src/main/java/io/hingehoist/run/host/PaceEstimator.java
+++ b/core/src/main/java/io/hingehoist/run/host/PaceEstimator.java
@@ -10,12 +10,15 @@
  */
 final class PaceEstimator {
   /**
-   * The number of runs before a pace is reported: the tasks of one job share the same wrong
-   * estimate.
+   * The number of runs before a pace is reported: the tasks of one job share one estimate, which
+   * may be wrong.
    */
   private static final int MIN_RUNS = 12;
 
-  /** The number of runs that end at a worker within some tens of seconds. */
+  /**
+   * The number of runs over which the mean is taken; a worker completes them within some tens of
+   * seconds.
+   */
   private static final int WINDOW_RUNS = 256;
 
   /** A single run counts as a factor of at most 3, up or down. */
--- a/core/src/main/java/io/hingehoist/run/host/PollResult.java
+++ b/core/src/main/java/io/hingehoist/run/host/PollResult.java
@@ -50,7 +50,7 @@
   /** There was no valid response, so nothing is known. */
   record Unanswered() implements PollResult {}
 
-  /** Another instance responded: the one that was called is over. */
+  /** Another instance responded: the one that was called has ended. */
   record OtherInstance() implements PollResult {}
 
   /** The connection was refused. */
--- a/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
+++ b/core/src/main/java/io/hingehoist/run/host/ProgressMonitor.java
@@ -168,7 +168,10 @@
     return pause.isActive(nowMs) ? rate : Rate.USUAL;
   }
 
-  /** Returns whether the worker is on trial: a few runs are enough to find out if it recovered. */
+  /**
+   * Returns whether the worker is on trial: only a few runs are started to find out whether it has
+   * recovered.
+   */
   boolean isOnTrial() {
     return rate != Rate.USUAL;
   }
--- a/core/src/main/java/io/hingehoist/run/host/RunController.java
+++ b/core/src/main/java/io/hingehoist/run/host/RunController.java
@@ -337,7 +337,7 @@
             callOptions(instance, consecutiveLosses, 0)));
   }
 
-  /** Stops a run that a former incarnation of this host or a late start call left behind. */
+  /** Stops a run that a former incarnation of this host or a late start call has started. */
   void stopUnknownRun(WorkerInstance instance, RunRef run) {
     outbox.logDecision("strangerStopped", run.task(), instance.id(), "run=" + run.number());
     addStopCall(instance, run, 0);
@@ -373,7 +373,7 @@
 
   // Ends.
 
-  /** Removes a worker instance that is over, and ends all its runs. */
+  /** Removes a worker instance that has ended, and ends all its runs. */
   void endInstance(WorkerInstance instance, String reason, long nowMs) {
     instances.remove(instance);
     outbox.logDecision(
--- a/core/src/main/java/io/hingehoist/run/host/StartResult.java
+++ b/core/src/main/java/io/hingehoist/run/host/StartResult.java
@@ -20,7 +20,7 @@
   /** There was no valid response: the call may be carried out, now or later. */
   record Unanswered() implements StartResult {}
 
-  /** Another instance responded: the one that was called is over. */
+  /** Another instance responded: the one that was called has ended. */
   record OtherInstance() implements StartResult {}
 
   /** The connection was refused, so this call was not carried out. */
--- a/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
+++ b/core/src/main/java/io/hingehoist/run/host/WorkerPoller.java
@@ -295,7 +295,7 @@
     // A start call to a former instance may be carried out after the lease of this one has expired.
     boolean allOver = instance.runs().stream().allMatch(run -> nowMs >= run.startCallsExpireAtMs);
     if (instance.refusesConnections && allOver) {
-      runController.endInstance(instance, "connections refused until its lease was over", nowMs);
+      runController.endInstance(instance, "connections refused until its lease expired", nowMs);
       return;
     }
     instance.runs().stream()
--- a/core/src/main/java/io/hingehoist/run/load/UrgentReservation.java
+++ b/core/src/main/java/io/hingehoist/run/load/UrgentReservation.java
@@ -7,11 +7,11 @@
  * A share of all room that is reserved for urgent, short work and not available to long work.
  *
  * <p>The policy covers a burst of long tasks of the lowest priority under overload. Runs are not
- * preempted, so each gap in the urgent work lets in a long task, which then occupies its room for
- * many times the length of the urgent tasks, whose callers are refused. The reservation serves
- * these callers at the cost of delaying long work, possibly beyond its objective. Operators have to
- * make this choice, so without the setting nothing is reserved. Jobs that have started are not
- * delayed. Not thread-safe.
+ * preempted, so each gap in the urgent work allows a long task to start, which then occupies its
+ * room for many times the length of the urgent tasks, whose callers are refused. The reservation
+ * serves these callers at the cost of delaying long work, possibly beyond its objective. Operators
+ * have to make this choice, so without the setting nothing is reserved. Jobs that have started are
+ * not delayed. Not thread-safe.
  */
 public final class UrgentReservation {
   /**
--- a/core/src/test/java/io/hingehoist/dispatch/StartOnceTest.java
+++ b/core/src/test/java/io/hingehoist/dispatch/StartOnceTest.java
@@ -26,7 +26,7 @@
     return seeds;
   }
 
-  /** Guards against repeated starts and unended jobs after kills, freezes and lost connections. */
+  /** Guards against repeated starts and unended jobs after kills, pauses and lost connections. */
   @Test(dataProvider = "seeds")
   public void noTaskStartsTwiceAndEveryJobEnds(long seed) {
     DispatchSimulation simulation = new DispatchSimulation(seed);
--- a/core/src/test/java/io/hingehoist/run/EvacuatedZonesViewTest.java
+++ b/core/src/test/java/io/hingehoist/run/EvacuatedZonesViewTest.java
@@ -48,8 +48,7 @@
               EvacuatedZonesView.create());
       List<EvacuatedZones> versions = List.of(zones(1, "z1"), zones(2), zones(3, "z1", "z2"));
       // The first process receives updates from replicas in any order, the second only from the
-      // first,
-      // and the third only from the second.
+      // first, and the third only from the second.
       for (int round = 0; round < 30; round++) {
         EvacuatedZones update = versions.get(round < 29 ? random.nextInt(versions.size()) : 2);
         if (processes.get(0).update(update, round) && processes.get(1).update(update, round)) {
--- a/core/src/test/java/io/hingehoist/run/FakeWorker.java
+++ b/core/src/test/java/io/hingehoist/run/FakeWorker.java
@@ -15,8 +15,8 @@
 
 /**
  * An in-memory worker that implements the platform's protocol: leases by its own, slow clock,
- * fencing tokens, invalidated run numbers and numbered ends. It starts every run that it is told to
- * start, whether or not it has room.
+ * fencing tokens, invalidated run numbers and numbered ends. It starts every run that it receives a
+ * start call for, whether or not it has room.
  */
 final class FakeWorker {
   static final Room CAPACITY = new Room(8_000, 8_000, 0);
--- a/core/src/test/java/io/hingehoist/run/RunSimulation.java
+++ b/core/src/test/java/io/hingehoist/run/RunSimulation.java
@@ -728,8 +728,7 @@
 
   // Messages that a fault delays are scheduled for the end of the fault. A further fault may
   // therefore only extend it. If it ended earlier, later messages would overtake earlier ones on
-  // the
-  // same connection.
+  // the same connection.
 
   private void cutLink(OwnerBox owner, HostBox box) {
     cuts.merge(owner.id + box.id, nowMs + 100 + random.nextInt(4_000), Math::max);
--- a/core/src/test/java/io/hingehoist/run/host/HostSleepTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostSleepTest.java
@@ -14,9 +14,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests a host whose box is suspended for seconds and resumes. Its monotonic clock stopped
- * meanwhile, so the leases of its owners seem valid although the owners have started the tasks
- * elsewhere.
+ * Tests a host whose box sleeps for seconds. The monotonic clock stops during the sleep, so the
+ * leases of its owners seem valid although the owners have started the tasks elsewhere.
  */
 public final class HostSleepTest {
   private static final Room CAPACITY = new Room(4_000, 1_000, 0);
--- a/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/RefusedConnectionTest.java
@@ -80,7 +80,7 @@
   }
 
   @Test
-  public void theRunsOfAWorkerThatRefusesConnectionsAreLostOnceItsLeaseIsOver() {
+  public void theRunsOfAWorkerThatRefusesConnectionsAreLostOnceItsLeaseHasExpired() {
     refusePoll(1_020);
     heartbeat(1_500);
     tick(LEASE_OVER_AT_MS - 1);
--- a/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/WorkerHostTest.java
@@ -316,7 +316,7 @@
   }
 
   @Test
-  public void runsOfASilentWorkerAreLostOnceItsLeaseIsOver() {
+  public void runsOfASilentWorkerAreLostOnceItsLeaseHasExpired() {
     WorkerHost host = hostWithOwner(1_000);
     order(host, 1_000, run(0, 1));
     host.startCallCompleted("w1", run(0, 1), new StartResult.Started(501_000), 1_002);
--- a/daemon/src/main/java/io/hingehoist/adapter/JobIntake.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/JobIntake.java
@@ -36,7 +36,7 @@
   /** Removes a waiter whose caller has disconnected. A job without any waiter is dropped. */
   void removeWaiter(String jobId, Waiter waiter);
 
-  /** Cancels a job. Returns whether this owner had it. */
+  /** Cancels a job. Returns whether the job was known. */
   boolean cancel(String jobId);
 
   /** Returns whether this owner has a job. */
--- a/daemon/src/main/java/io/hingehoist/adapter/WorkerCalls.java
+++ b/daemon/src/main/java/io/hingehoist/adapter/WorkerCalls.java
@@ -11,11 +11,11 @@
  */
 public interface WorkerCalls {
 
-  /** Tells a worker to start a run. */
+  /** Calls a worker to start a run. */
   void start(HostEffect.StartCall call, Consumer<StartResult> result);
 
   /**
-   * Tells a worker to stop a run.
+   * Calls a worker to stop a run.
    *
    * @param result receives whether the worker confirmed the stop
    */
--- a/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
+++ b/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
@@ -27,7 +27,7 @@
 
 /**
  * The sessions of a host with all owners that it knows of, and their connections. A session
- * outlives its connection for the duration of the owner's lease: a connection that breaks or falls
+ * outlasts its connection for the duration of the owner's lease: a connection that breaks or falls
  * silent is replaced, and the session resumes where it was interrupted. Not thread-safe: confined
  * to the event loop.
  */
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -39,7 +39,7 @@
  * The sessions of an owner with the hosts. Hosts open them; if a host has no session with this
  * owner, the owner announces itself at the host's address, as the host may not know of it.
  *
- * <p>A session outlives its connection: when a connection breaks or falls silent, the host opens
+ * <p>A session outlasts its connection: when a connection breaks or falls silent, the host opens
  * another one and resumes the session on it. A session on which nothing is received for the
  * duration of the lease ends. Not thread-safe: confined to the event loop.
  */
@@ -341,7 +341,7 @@
       switch (message) {
         case SessionOpened opened -> openSession(host, channel, opened);
         case SessionResumed resumed -> resumeSession(host, channel, resumed);
-        // Left over from a connection that was replaced.
+        // From a connection that was replaced.
         default -> {}
       }
     }
@@ -458,8 +458,8 @@
 
     /**
      * Ends a suspended session at once, as no process accepts connections at the host's address.
-     * The host's process may still be alive all the same, and then keeps its runs until its lease
-     * of this owner expires.
+     * The host's process may still be running; it then continues its runs until this owner's lease
+     * expires there.
      */
     @Override
     public void onRefused() {
--- a/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
+++ b/daemon/src/main/java/io/hingehoist/owner/OwnerNode.java
@@ -432,7 +432,7 @@
       controls.addAnnounced(peer);
     }
 
-    /** Sends the proof unless this process may have slept itself. */
+    /** Sends the proof unless this box may have been asleep itself. */
     @Override
     public void onProbe(long number, Consumer<Message> replies) {
       checkSleep();
--- a/daemon/src/main/java/io/hingehoist/owner/RouteFetcher.java
+++ b/daemon/src/main/java/io/hingehoist/owner/RouteFetcher.java
@@ -17,10 +17,13 @@
  * thread-safe: confined to the event loop.
  */
 final class RouteFetcher {
-  /** Longer than fetching the parts of some thousand routes takes, and short for a caller. */
+  /**
+   * Longer than it takes to fetch the parts of some thousand routes, and short compared with the
+   * time that a caller waits.
+   */
   private static final long READ_TIMEOUT_MS = 400;
 
-  /** A caller's read that waits for at least a version. */
+  /** A caller's read that waits until a version or a newer one is in force. */
   private record PendingRead(
       long version, long expiresAtMs, Consumer<Optional<RouteTable>> result) {}
 
--- a/daemon/src/test/java/io/hingehoist/owner/HostSessionsTest.java
+++ b/daemon/src/test/java/io/hingehoist/owner/HostSessionsTest.java
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Guards against tasks that run twice. It happens if the owner waits for less than the rest of
-   * its lease when a host refuses a connection, as the host's process may still be alive.
+   * Guards against tasks that run twice. This happens if the owner waits for less than the rest of
+   * its lease when a host refuses a connection, as the host's process may still be running.
    */
   @Test
   public void aHostThatRefusesAConnectionMayStillHoldItsLease() throws Exception {
--- a/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
+++ b/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against links that keep a silent connection for ever. A connection may fall silent while
+ * Guards against links that never replace a silent connection. A connection may fall silent while
  * the peer works and sends on another one, so each connection must be checked by what is received
  * on it, both between an entry and an agent and between two replicas.
  */
