--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -208,7 +208,7 @@
       if (session.isUnverified() && session.unverifiedForMs(nowMs) >= PROOF_TIMEOUT_MS) {
         close(session, "not proven after a sleep", nowMs);
       } else if (isExpired(session, nowMs)) {
-        close(session, "lease expired", nowMs);
+        close(session, "lease over", nowMs);
       }
     }
   }
