--- a/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
+++ b/core/src/main/java/io/hingehoist/run/host/OwnerSessionManager.java
@@ -99,7 +99,7 @@
   void heartbeat(OwnerSession session, long sentAtMs, boolean follows, long nowMs) {
     session.follows = follows;
     if (session.isUnverified()) {
-      // The heartbeat may have been in transit while this box was suspended.
+      // The heartbeat may have been in transit while this box was asleep.
       return;
     }
     session.lease.onHeartbeat(sentAtMs, nowMs);
@@ -117,7 +117,7 @@
    * from an owner that has just started.
    */
   private static boolean expiresBeforeNextHeartbeat(OwnerSession session, long nowMs) {
-    return session.lease.remainingMs(nowMs) < RunTiming.HEARTBEAT_PERIOD_MS;
+    return session.lease.remainingMs(nowMs) < RunTiming.HEARTBEAT_INTERVAL_MS;
   }
 
   /**
@@ -133,8 +133,8 @@
   }
 
   /** Prevents starts on every session until its owner has answered a probe. */
-  void markAllUnverified(long suspendedMs, long nowMs) {
-    outbox.logDecision("mayHaveSlept", "", hostId, "ms=" + suspendedMs);
+  void markAllUnverified(long sleptMs, long nowMs) {
+    outbox.logDecision("mayHaveSlept", "", hostId, "ms=" + sleptMs);
     for (OwnerSession session : sessions.all()) {
       probeNumber++;
       session.markUnverified(nowMs);
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Answers an owner's probe, except while this host is unsure of the session itself. */
+  /** Answers an owner's probe unless the session is unverified here too. */
   void probeReceived(OwnerSession session, long number, long nowMs) {
     if (!session.isUnverified()) {
       outbox.send(session.id, new SessionProof(number, nowMs));
@@ -206,7 +206,7 @@
   void closeExpired(long nowMs) {
     for (OwnerSession session : sessions.all()) {
       if (session.isUnverified() && session.unverifiedForMs(nowMs) >= PROOF_TIMEOUT_MS) {
-        close(session, "not proven after a suspend", nowMs);
+        close(session, "not proven after a sleep", nowMs);
       } else if (isExpired(session, nowMs)) {
         close(session, "lease over", nowMs);
       }
--- a/core/src/main/java/io/hingehoist/run/host/RunController.java
+++ b/core/src/main/java/io/hingehoist/run/host/RunController.java
@@ -137,7 +137,7 @@
   private void callStart(WorkerInstance instance, HostedRun run, long nowMs) {
     run.lastCallAtMs = nowMs;
     long deadlineMs = instance.grantLease(bounds.latestEndMs(instance, nowMs), nowMs);
-    run.startCallsExpireAtMs = instance.leaseOverAtMs();
+    run.startCallsExpireAtMs = instance.runsOverAtMs();
     outbox.add(
         new HostEffect.StartCall(
             instance.id(),
@@ -236,10 +236,10 @@
   }
 
   /**
-   * Returns whether a start call may be sent. A host that was paused may process a response long
-   * after it arrived: an owner whose lease has expired may have started the task elsewhere, and the
-   * zone may have been evacuated. A start call renews the worker's lease, which must not happen for
-   * a silent worker.
+   * Returns whether a start call may be sent. A host process that was paused may process a response
+   * long after it arrived: an owner whose lease has expired may have started the task elsewhere,
+   * and the zone may have been evacuated. A start call renews the worker's lease, which must not
+   * happen for a silent worker.
    */
   private boolean mayStart(WorkerInstance instance, HostedRun run, long nowMs) {
     return run.state == HostedRun.State.ORDERED
@@ -337,7 +337,7 @@
             callOptions(instance, consecutiveLosses, 0)));
   }
 
-  /** Stops a run that a former incarnation of this host or a late start call left behind. */
+  /** Stops a run that a former incarnation of this host or a late start call has started. */
   void stopUnknownRun(WorkerInstance instance, RunRef run) {
     outbox.logDecision("strangerStopped", run.task(), instance.id(), "run=" + run.number());
     addStopCall(instance, run, 0);
@@ -373,7 +373,7 @@
 
   // Ends.
 
-  /** Removes a worker instance that is over, and ends all its runs. */
+  /** Removes a worker instance that has ended, and ends all its runs. */
   void endInstance(WorkerInstance instance, String reason, long nowMs) {
     instances.remove(instance);
     outbox.logDecision(
--- a/core/src/main/java/io/hingehoist/run/owner/HostView.java
+++ b/core/src/main/java/io/hingehoist/run/owner/HostView.java
@@ -18,7 +18,7 @@
   final String hostId;
   private final Map<String, WorkerView> workers = new LinkedHashMap<>();
   private long lastOrder;
-  private long lastHeardAtMs;
+  private long lastUpdateAtMs;
 
   HostView(String hostId) {
     this.hostId = hostId;
@@ -28,14 +28,17 @@
     return ++lastOrder;
   }
 
-  /** Records the arrival of a message from the host. */
-  void recordHeard(long nowMs) {
-    lastHeardAtMs = nowMs;
+  /** Records the time of the host's last update of its workers. */
+  void recordUpdateTime(long nowMs) {
+    lastUpdateAtMs = nowMs;
   }
 
-  /** Returns the time of the host's last message, up to which the state of its runs is known. */
-  long lastHeardAtMs() {
-    return lastHeardAtMs;
+  /**
+   * Returns the time of the host's last update of its workers, up to which the state of its runs is
+   * known.
+   */
+  long lastUpdateAtMs() {
+    return lastUpdateAtMs;
   }
 
   void update(HostRows rows) {
--- a/core/src/test/java/io/hingehoist/run/host/SuspendedHostTest.java
+++ b/core/src/test/java/io/hingehoist/run/host/HostSleepTest.java
@@ -14,11 +14,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests a host whose box is suspended for seconds and resumes. Its monotonic clock stopped
- * meanwhile, so the leases of its owners seem valid although the owners have started the tasks
- * elsewhere.
+ * Tests a host whose box sleeps for seconds. The monotonic clock stops during the sleep, so the
+ * leases of its owners seem valid although the owners have started the tasks elsewhere.
  */
-public final class SuspendedHostTest {
+public final class HostSleepTest {
   private static final Room CAPACITY = new Room(4_000, 1_000, 0);
   private static final long SESSION = HostFixture.SESSION;
   private static final RunRef RUNNING = new RunRef("j.0.0", 1);
@@ -28,7 +27,7 @@
   private WorkerHost host;
 
   @BeforeMethod
-  public void suspendWithARun() {
+  public void sleepWithARun() {
     fixture = HostFixture.startedLongBefore(1_000);
     host = fixture.host;
     host.workerHeartbeat(HostFixture.worker("w", CAPACITY, 1), 1_000);
@@ -61,22 +60,22 @@
     start(1_021, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
     assertEquals(sent(RunNotStarted.class).getFirst().reason(), RunRefusal.NOT_READY);
-    host.sessionProven(SESSION, probeNumber, 1_024, 1_024);
+    host.proofReceived(SESSION, probeNumber, 1_024, 1_024);
     start(1_025, new RunRef("j.0.1", 2));
     assertEquals(count(HostEffect.StartCall.class), 1);
   }
 
   @Test
-  public void aHeartbeatReceivedDuringTheSuspendDoesNotRenewTheLease() {
+  public void aHeartbeatReceivedDuringTheSleepDoesNotRenewTheLease() {
     host.ownerHeartbeat(SESSION, 1_015, true, 1_021);
     start(1_022, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
   }
 
   @Test
-  public void aStartCallIsNotRepeatedAfterASuspend() {
+  public void aStartCallIsNotRepeatedAfterASleep() {
     long probeNumber = probeNumber();
-    host.sessionProven(SESSION, probeNumber, 1_024, 1_024);
+    host.proofReceived(SESSION, probeNumber, 1_024, 1_024);
     start(1_025, ORDERED);
     host.mayHaveSlept(4_000, 1_030);
     host.startCallCompleted("w", ORDERED, new StartResult.Unanswered(), 1_031);
@@ -98,14 +97,14 @@
 
   @Test
   public void anAnswerToAnEarlierProbeProvesNothing() {
-    host.sessionProven(SESSION, probeNumber() - 1, 1_021, 1_021);
+    host.proofReceived(SESSION, probeNumber() - 1, 1_021, 1_021);
     start(1_022, ORDERED);
     assertEquals(count(HostEffect.StartCall.class), 0);
   }
 
   @Test
   public void aHostWithUnverifiedSessionsAnswersNoProbes() {
-    host.sessionProbed(SESSION, 5, 1_021);
+    host.probeReceived(SESSION, 5, 1_021);
     fixture.collectEffects(1_021);
     assertEquals(sent(SessionProof.class), List.of());
   }
--- a/daemon/src/main/java/io/hingehoist/client/ControlClient.java
+++ b/daemon/src/main/java/io/hingehoist/client/ControlClient.java
@@ -34,14 +34,14 @@
 /**
  * A client of the control replicas that finds their current leader. Thread-safe.
  *
- * <p>Futures of calls that are attempted once, or up to a time-out, fail with {@link
+ * <p>Futures of calls that are attempted once, or up to a timeout, fail with {@link
  * ControlUnavailableException}; those of proposals never fail, because proposals are retried until
  * they are applied. All state is confined to one internal thread.
  */
 public final class ControlClient implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 500;
   private static final long ATTEMPT_TIMEOUT_MS = 1_500;
-  private static final long TIMEOUT_CHECK_PERIOD_MS = 100;
+  private static final long TIMEOUT_CHECK_INTERVAL_MS = 100;
   private static final long RETRY_DELAY_MS = 50;
   private static final int MAX_QUEUED_FRAMES = 8_192;
 
@@ -88,8 +88,8 @@
     ControlClient client = new ControlClient(addresses, ownAddress, hello, metrics, threads);
     client.executor.scheduleWithFixedDelay(
         client::checkTimeouts,
-        TIMEOUT_CHECK_PERIOD_MS,
-        TIMEOUT_CHECK_PERIOD_MS,
+        TIMEOUT_CHECK_INTERVAL_MS,
+        TIMEOUT_CHECK_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
     return client;
   }
@@ -271,7 +271,7 @@
     closeConnection("another replica is the leader");
   }
 
-  /** Drops the connection if a response is overdue: the replica may be frozen or unreachable. */
+  /** Drops the connection if a response is overdue: the replica may be paused or unreachable. */
   private void checkTimeouts() {
     long now = nowMs();
     boolean timedOut = pending.values().stream().anyMatch(request -> request.expiresAtMs() <= now);
--- a/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
+++ b/daemon/src/main/java/io/hingehoist/host/OwnerLinks.java
@@ -27,18 +27,18 @@
 
 /**
  * The sessions of a host with all owners that it knows of, and their connections. A session
- * outlives its connection for the duration of the owner's lease: a connection that breaks or falls
+ * outlasts its connection for the duration of the owner's lease: a connection that breaks or falls
  * silent is replaced, and the session resumes where it was interrupted. Not thread-safe: confined
  * to the event loop.
  */
 final class OwnerLinks implements AutoCloseable {
-  /** The time-out before a session starts: that of a session whose owner has runs here. */
+  /** The timeout before a session opens: that of a session whose owner has runs here. */
   private static final long SILENCE_TIMEOUT_MS = SilenceTimeouts.forOwnerMs(false, Long.MAX_VALUE);
 
   /** Handles the events of sessions. Called on the event loop. */
   interface Listener {
-    /** Called when a session starts. */
-    void onStarted(long sessionId, String ownerId);
+    /** Called when a session opens. */
+    void onOpened(long sessionId, String ownerId);
 
     /** Called when a session resumes on a new connection. */
     void onResumed(long sessionId);
@@ -50,7 +50,7 @@
     void onEnded(long sessionId, String reason);
 
     /**
-     * Called when a session has no connection.
+     * Called when a session loses its connection.
      *
      * @param heardAgoMs the time since the last message on the session's connection
      */
@@ -63,7 +63,7 @@
   private static final class Session {
     private final long id;
     private final SessionStream stream = SessionStream.create();
-    private final long startedAtMs;
+    private final long openedAtMs;
     private Optional<PeerChannel> channel;
     private HostRowsEncoder sentRows = HostRowsEncoder.create();
     private long heartbeatReceivedAtMs;
@@ -71,7 +71,7 @@
     private Session(PeerChannel channel, long nowMs) {
       this.id = channel.id();
       this.heartbeatReceivedAtMs = nowMs;
-      this.startedAtMs = nowMs;
+      this.openedAtMs = nowMs;
       this.channel = Optional.of(channel);
     }
 
@@ -139,7 +139,7 @@
 
   private long silenceTimeoutMs(Session session, long nowMs) {
     boolean idle = !listener.hasRuns(session.id);
-    return SilenceTimeouts.forOwnerMs(idle, nowMs - session.startedAtMs);
+    return SilenceTimeouts.forOwnerMs(idle, nowMs - session.openedAtMs);
   }
 
   private void replaceWithoutHeartbeat(String owner, Session session) {
@@ -228,16 +228,16 @@
     public void onOpen(PeerChannel channel) {
       Session session = sessionsByOwner.get(owner);
       if (session == null) {
-        startSession(channel);
+        openSession(channel);
       } else {
         channel.send(new SessionResumed(session.id, session.stream.receivedCount()));
       }
     }
 
-    private void startSession(PeerChannel channel) {
+    private void openSession(PeerChannel channel) {
       Session session = new Session(channel, EventLoop.nowMs());
       sessionsByOwner.put(owner, session);
-      listener.onStarted(session.id, owner);
+      listener.onOpened(session.id, owner);
     }
 
     @Override
@@ -294,7 +294,7 @@
     private void restartSession(Session session, PeerChannel channel, SessionUnknown unknown) {
       if (unknown.sessionId() == session.id) {
         endSession(owner, "session unknown to owner");
-        startSession(channel);
+        openSession(channel);
       }
     }
 
--- a/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
+++ b/daemon/src/main/java/io/hingehoist/owner/HostSessions.java
@@ -39,7 +39,7 @@
  * The sessions of an owner with the hosts. Hosts open them; if a host has no session with this
  * owner, the owner announces itself at the host's address, as the host may not know of it.
  *
- * <p>A session outlives its connection: when a connection breaks or falls silent, the host opens
+ * <p>A session outlasts its connection: when a connection breaks or falls silent, the host opens
  * another one and resumes the session on it. A session on which nothing is received for the
  * duration of the lease ends. Not thread-safe: confined to the event loop.
  */
@@ -49,14 +49,17 @@
 
   /** Handles the events of sessions. Called on the event loop. */
   interface Listener {
-    /** Called when a host opens a session, or sends the message that opens it again. */
+    /**
+     * Called when a host opens a session, and when it repeats that message because all runs of
+     * former sessions are over.
+     */
     void onOpened(String hostId, SessionOpened opened);
 
     /** Called for each message that this class does not handle itself. */
     void onMessage(String hostId, Message message);
 
     /**
-     * Called when a session has no connection, or nothing is received on its connection.
+     * Called when a session loses its connection, or nothing is received on it.
      *
      * @param heardAgoMs the time since the last message on the session's connection
      */
@@ -77,7 +80,7 @@
     void onAnnounce(Peer peer);
 
     /**
-     * Called when a host asks for a proof that its session is still alive.
+     * Called when a host probes whether its session still exists.
      *
      * @param replies accepts the proof
      */
@@ -92,7 +95,7 @@
     private final long hostIncarnation;
     private final SessionStream stream = SessionStream.create();
     private final OpenRuns openRuns = OpenRuns.create();
-    private final long startedAtMs = EventLoop.nowMs();
+    private final long openedAtMs = EventLoop.nowMs();
     private Optional<PeerChannel> channel;
     private HostRowsDecoder receivedRows = HostRowsDecoder.create();
     private long suspendedAtMs;
@@ -119,7 +122,7 @@
     }
 
     private long silenceTimeoutMs(long nowMs) {
-      return SilenceTimeouts.forHostMs(isIdle(), nowMs - startedAtMs);
+      return SilenceTimeouts.forHostMs(isIdle(), nowMs - openedAtMs);
     }
 
     /**
@@ -203,7 +206,7 @@
 
   private void sendHeartbeatIfDue(String hostId, Session session, long nowMs) {
     long periodMs =
-        session.isIdle() ? RunTiming.IDLE_HEARTBEAT_PERIOD_MS : RunTiming.HEARTBEAT_PERIOD_MS;
+        session.isIdle() ? RunTiming.IDLE_HEARTBEAT_INTERVAL_MS : RunTiming.HEARTBEAT_INTERVAL_MS;
     if (nowMs - session.heartbeatSentAtMs >= periodMs) {
       session.channel.ifPresent(channel -> sendHeartbeat(hostId, session, channel));
     }
@@ -338,7 +341,7 @@
       switch (message) {
         case SessionOpened opened -> openSession(host, channel, opened);
         case SessionResumed resumed -> resumeSession(host, channel, resumed);
-        // Left over from a connection that was replaced.
+        // From a connection that was replaced.
         default -> {}
       }
     }
@@ -455,8 +458,8 @@
 
     /**
      * Ends a suspended session at once, as no process accepts connections at the host's address.
-     * The host's process may still be alive all the same, and then keeps its runs until its lease
-     * of this owner expires.
+     * The host's process may still be running; it then continues its runs until this owner's lease
+     * expires there.
      */
     @Override
     public void onRefused() {
--- a/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
+++ b/daemon/src/test/java/io/hingehoist/wire/FrameLinkTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against links that keep a silent connection for ever. A connection may fall silent while
+ * Guards against links that never replace a silent connection. A connection may fall silent while
  * the peer works and sends on another one, so each connection must be checked by what is received
  * on it, both between an entry and an agent and between two replicas.
  */
@@ -53,7 +53,7 @@
             FrameConnection.start(
                 server.accept(), countDownOnClose(closed), Metrics.create(), Thread::new, 100)) {
       assertTrue(answering.isOpen(), link.address());
-      // Three times the time-out after which a silent connection is closed.
+      // Three times the timeout after which a silent connection is closed.
       assertTrue(!closed.await(7, TimeUnit.SECONDS), "the connection was closed");
     }
   }
